--- a/bench/decisions/variants.ts
+++ b/bench/decisions/variants.ts
@@ -1,8 +1,8 @@
 import {
-	createSubsetPlacement, leastInFlight, type Placement, powerOfTwo, randomPlacement, roundRobin, subsetFigures, subsetPlacement,
+	createSubsetPlacement, leastInFlight, type Placement, powerOfTwo, randomPlacement, roundRobin, subsetSettings, subsetPlacement,
 } from '../../src/policy/placement/index.js';
 import {
-	firstCome, type Scheduler, type SchedulerSettings, tiered,
+	createFifoScheduler, type Scheduler, type SchedulerSettings, createTieredScheduler,
 } from '../../src/policy/scheduler/index.js';
 import {fullBatch} from './plan.js';
 
@@ -14,12 +14,12 @@
 };
 
 /** A fixed number of slots that keeps the tightest target: the best that a fixed number can do here. */
-const fixedSlots = (settings: Partial<SchedulerSettings>): Scheduler<any> => firstCome({...settings, initialSlots: fullBatch});
+const fixedSlots = (settings: Partial<SchedulerSettings>): Scheduler<any> => createFifoScheduler({...settings, initialSlots: fullBatch});
 
 /** What is measured side by side, the product first. */
 export const variants: readonly Variant[] = [
-	{name: 'present', scheduler: tiered, placement: subsetPlacement},
-	{name: 'early-binding', scheduler: tiered, placement: createSubsetPlacement({...subsetFigures, reservations: 1})},
+	{name: 'present', scheduler: createTieredScheduler, placement: subsetPlacement},
+	{name: 'early-binding', scheduler: createTieredScheduler, placement: createSubsetPlacement({...subsetSettings, reservations: 1})},
 	{name: 'random', scheduler: fixedSlots, placement: randomPlacement},
 	{name: 'round-robin', scheduler: fixedSlots, placement: roundRobin},
 	{name: 'least-in-flight', scheduler: fixedSlots, placement: leastInFlight},
--- a/bench/harness/local-fleet.ts
+++ b/bench/harness/local-fleet.ts
@@ -1,7 +1,7 @@
 import {randomUUID} from 'node:crypto';
 import {EngineClient, EngineControl, ServiceClient} from '../../src/endpoint/index.js';
 import {type Entry as CatalogueEntry, catalogueStream, type Change} from '../../src/catalogue/index.js';
-import {ClaimKeeper} from '../../src/entry/claims/index.js';
+import {ClaimManager} from '../../src/entry/claims/index.js';
 import {Entry, type EntryOptions} from '../../src/entry/index.js';
 import {
 	createInstanceId, type EndpointId, type InstanceId, type TargetName, type ZoneName,
@@ -10,7 +10,7 @@
 	CatalogueFollower, exchangeCatalogue, HttpLogClient, HttpMembershipClient, QuarantineLedger,
 } from '../../src/platform/index.js';
 import {type Placement, subsetPlacement} from '../../src/policy/placement/index.js';
-import {createSettings, type Scheduler, tiered} from '../../src/policy/scheduler/index.js';
+import {createSettings, type Scheduler, createTieredScheduler} from '../../src/policy/scheduler/index.js';
 import {type Backend, EndpointWatch, Side, type SideOptions} from '../../src/side/index.js';
 import {createLogger, forPart, type Logger} from '../../src/telemetry/index.js';
 import {
@@ -43,7 +43,7 @@
 	readonly quarantine?: SideOptions<unknown>['quarantine'];
 };
 
-export type LocalEntry = {readonly entry: Entry<any>; readonly follower: CatalogueFollower; readonly quarantine: QuarantineLedger; readonly claims: ClaimKeeper; readonly instance: InstanceId; readonly zone: string};
+export type LocalEntry = {readonly entry: Entry<any>; readonly follower: CatalogueFollower; readonly quarantine: QuarantineLedger; readonly claims: ClaimManager; readonly instance: InstanceId; readonly zone: string};
 
 export type LocalFleetOptions = {
 	readonly entries: number;
@@ -132,7 +132,7 @@
 		const instance = createInstanceId('entry');
 		const follower = this.#follow(instance);
 		const quarantine = QuarantineLedger.create({log: this.#logClient()});
-		const claims = ClaimKeeper.create({log: this.#logClient(), instance});
+		const claims = ClaimManager.create({log: this.#logClient(), instance});
 		const entry = await Entry.create({
 			instance,
 			zone: zone as ZoneName,
@@ -230,7 +230,7 @@
 			port: 0,
 			security: this.#security,
 			backend,
-			scheduler: this.#options.scheduler?.() ?? tiered(createSettings()),
+			scheduler: this.#options.scheduler?.() ?? createTieredScheduler(createSettings()),
 			logger: forPart(this.logger, 'Side'),
 			quarantine,
 			catalogueOffset: () => follower.current().offset,
--- a/bench/limits/simulation.ts
+++ b/bench/limits/simulation.ts
@@ -1,5 +1,5 @@
 import {
-	admit, createKeeper, createLocal, evenShare, finish, lacksLease, leaseShare, reportInterval, takeLease, takeReport, type KeeperState, type LocalState, type Standing,
+	admit, createAllocator, createLimiter, evenShare, finish, lacksLease, grantLease, reportIntervalMilliseconds, applyLease, createReport, type AllocatorState, type LimiterState, type FleetPosition,
 } from '../../src/policy/limits/index.js';
 import {createRandom} from '../harness/random.js';
 
@@ -51,7 +51,7 @@
 	return run.outcome();
 }
 
-type Node = {readonly name: string; readonly standing: Standing; state: LocalState | undefined; lastReportAt: number; lastUsedAt: number};
+type Node = {readonly name: string; readonly standing: FleetPosition; state: LimiterState | undefined; lastReportAt: number; lastUsedAt: number};
 
 class Run {
 	static create(scenario: Scenario): Run {
@@ -61,7 +61,7 @@
 	readonly #scenario: Scenario;
 	readonly #random;
 	readonly #nodes: Node[];
-	readonly #keepers: KeeperState[] = [createKeeper(), createKeeper()];
+	readonly #keepers: AllocatorState[] = [createAllocator(), createAllocator()];
 	readonly #admitted = Array.from({length: seconds}, () => 0);
 	readonly #sent = Array.from({length: seconds}, () => 0);
 	readonly #endings = new Map<number, Node[]>();
@@ -115,9 +115,9 @@
 
 	#arrive(now: number): void {
 		const node = this.#balance(now);
-		const question = {limits: {[this.#scenario.kind]: this.#scenario.limit}, standing: node.standing, promptTokens: 1};
+		const question = {limits: {[this.#scenario.kind]: this.#scenario.limit}, fleetPosition: node.standing, promptTokens: 1};
 		this.#sent[Math.floor(now / 1000)]! += 1;
-		node.state ??= createLocal(question, now);
+		node.state ??= createLimiter(question, now);
 		node.lastUsedAt = now;
 		if (lacksLease(node.state, now)) {
 			this.#report(node, now);
@@ -149,24 +149,24 @@
 
 	#report(node: Node, now: number, isUrgent = false): void {
 		const {sharing, kind, limit} = this.#scenario;
-		const due = node.state !== undefined && now - node.lastReportAt >= reportInterval(node.state, isUrgent) && now - node.lastUsedAt < idleMilliseconds;
+		const due = node.state !== undefined && now - node.lastReportAt >= reportIntervalMilliseconds(node.state, isUrgent) && now - node.lastUsedAt < idleMilliseconds;
 		if (!node.state || !due || sharing === 'static') {
 			return;
 		}
 
 		node.lastReportAt = now;
 		this.#reports += 1;
-		const {state, demand} = takeReport(node.state, now);
+		const {state, demand} = createReport(node.state, now);
 		node.state = state;
 		const keeper = this.#keeperOf(node, now);
 		if (keeper === undefined) {
 			return;
 		}
 
-		const question = {limits: {[kind]: limit}, standing: node.standing};
-		const leased = leaseShare(this.#keepers[keeper]!, {holder: node.name, demand, limits: question.limits}, now);
+		const question = {limits: {[kind]: limit}, fleetPosition: node.standing};
+		const leased = grantLease(this.#keepers[keeper]!, {holder: node.name, demand, limits: question.limits}, now);
 		this.#keepers[keeper] = leased.state;
-		node.state = takeLease(node.state, question, leased.lease, now + (2 * hopMilliseconds));
+		node.state = applyLease(node.state, question, leased.lease, now + (2 * hopMilliseconds));
 	}
 
 	#keeperOf(node: Node, now: number): number | undefined {
--- a/src/bin/cassiaflow-entry.ts
+++ b/src/bin/cassiaflow-entry.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 import {randomBytes} from 'node:crypto';
-import {ClaimKeeper} from '../entry/claims/index.js';
+import {ClaimManager} from '../entry/claims/index.js';
 import {Entry, EntryTelemetry} from '../entry/index.js';
 import {createInstanceId, type InstanceId, type ZoneName} from '../model/index.js';
 import {
@@ -32,7 +32,7 @@
 		onLog,
 	});
 	await using quarantine = QuarantineLedger.create({log: HttpLogClient.create(platform(settings.logUrl)), onLog});
-	await using claims = ClaimKeeper.create({log: HttpLogClient.create(platform(settings.logUrl)), instance});
+	await using claims = ClaimManager.create({log: HttpLogClient.create(platform(settings.logUrl)), instance});
 	const metrics = Metrics.create({role: 'entry', ofProcess: true});
 	const journal = DecisionJournal.create();
 	await using entry = await Entry.create({
--- a/src/bin/cassiaflow-side.ts
+++ b/src/bin/cassiaflow-side.ts
@@ -7,7 +7,7 @@
 import {
 	CatalogueFollower, exchangeCatalogue, HttpLogClient, HttpMembershipClient, HttpWeightStoreClient, QuarantineLedger,
 } from '../platform/index.js';
-import {createSettings, tiered, type TieredState, type Violation} from '../policy/scheduler/index.js';
+import {createSettings, createTieredScheduler, type TieredState, type Violation} from '../policy/scheduler/index.js';
 import {ModelKeeper, OrderDesk} from '../side/orders/index.js';
 import {type Backend, EndpointWatch, Side, SideTelemetry} from '../side/index.js';
 import {AdminServer, createLogger, createOperatorRoutes, DecisionJournal, forPart, Metrics, type PartLogger,
@@ -53,7 +53,7 @@
 		port: settings.listenPort,
 		security: readSecurity(sideSettings.program, settings),
 		backend,
-		scheduler: tiered(createSettings({
+		scheduler: createTieredScheduler(createSettings({
 			onViolation({rule, detail}: Violation) {
 				violations.add(1, {rule});
 				log.error('A rule of the queue is broken.', {rule, detail});
--- a/src/bin/gateway-process.ts
+++ b/src/bin/gateway-process.ts
@@ -1,8 +1,8 @@
 import process from 'node:process';
-import {Beliefs, ChannelBook, DecisionLog, Dispatcher, type FollowedFeeds, followFeeds, Gateway, KeptReader, type PeerRecord, Peers, ProcessorWatch, type RequestCodec, type StoreFeeds} from '../gateway/index.js';
+import {RoutingState, ConnectionPools, DecisionLog, Dispatcher, type FeedFollowers, followFeeds, Gateway, PromptCacheReader, type PeerRecord, Peers, EventLoopMonitor, type RequestCodec, type StoreFeeds} from '../gateway/index.js';
 import {createInstanceId, type InstanceId, splitAddress, type ZoneName} from '../model/index.js';
 import {type PromptPart, type RetryAllowance} from '../policy/dispatch/index.js';
-import {recentReadingMilliseconds} from '../policy/sharing/index.js';
+import {recentPollMilliseconds} from '../policy/sharing/index.js';
 import {AdminServer, forPart, type Logger, Metrics, type PartLogger} from '../telemetry/index.js';
 import {type GatewaySettings} from './settings/gateway-settings.js';
 import {parseTuning} from './settings/tuning.js';
@@ -37,7 +37,7 @@
 	readonly settings: GatewaySettings;
 	readonly log: PartLogger;
 	readonly store: GatewayStore;
-	readonly beliefs: Beliefs;
+	readonly beliefs: RoutingState;
 	readonly peers: Peers;
 	readonly dispatcher: Dispatcher;
 	readonly gateway: Gateway;
@@ -51,61 +51,61 @@
 	static async create({settings, adapter, logger}: {settings: GatewaySettings; adapter: GatewayAdapter; logger: Logger}): Promise<GatewayProcess> {
 		const incarnation = createInstanceId('gateway');
 		const metrics = Metrics.create({role: 'gateway'});
-		const beliefs = Beliefs.create(forPart(logger, 'Beliefs'));
+		const beliefs = RoutingState.create(forPart(logger, 'Beliefs'));
 		const store = adapter.openStore(settings.storeAddress, forPart(logger, 'Store'));
-		const channels = ChannelBook.create();
+		const channels = ConnectionPools.create();
 		beliefs.onChange(change => {
 			for (const id of change.type === 'reborn' ? change.ids : []) {
-				channels.endOlder(id);
+				channels.closeStaleConnections(id);
 			}
 		});
 		const decisions = DecisionLog.create(forPart(logger, 'Request'), metrics);
 		const dispatcher = Dispatcher.create({
 			incarnation,
 			zone: settings.availabilityZone as ZoneName,
-			beliefs,
+			routingState: beliefs,
 			logger: forPart(logger, 'Dispatch'),
 			allowance: allowanceOf(settings),
 			random: Math.random,
 			tuning: parseTuning(process.env.CASSIAFLOW_TUNING),
 			onLoad(event) {
-				peers.tellLoad(event);
+				peers.broadcastLoad(event);
 			},
 		});
-		const kept = KeptReader.create({
-			instance: settings.instance, beliefs, logger: forPart(logger, 'Kept'),
-			instances: () => peers.names,
+		const kept = PromptCacheReader.create({
+			instance: settings.instance, routingState: beliefs, logger: forPart(logger, 'Kept'),
+			instances: () => peers.instanceNames,
 			read: async address => adapter.readKeptParts(address),
 			onRead(list) {
-				dispatcher.takeLoad({type: 'kept', ...list});
-				peers.tellKept(list);
+				dispatcher.applyLoad({type: 'kept', ...list});
+				peers.broadcastPromptCache(list);
 			},
 		});
 		/** Peers may come before the feeds are followed: nothing was read until then. */
-		const followed: {feeds?: FollowedFeeds} = {};
+		const followed: {feeds?: FeedFollowers} = {};
 		const peers = await openPeers(settings, {incarnation, beliefs, dispatcher, kept, logger, feeds: () => followed.feeds});
 		const eras = metrics.counter('gateway_store_eras_total', 'How often a feed was read anew since the store came back from a copy.', ['feed']);
 		const feeds = followFeeds(store, {
-			beliefs, peers, drainMilliseconds: settings.drainMilliseconds, applyMilliseconds: settings.applyMilliseconds, logger: forPart(logger, 'Store'), random: Math.random,
+			routingState: beliefs, peers, drainMilliseconds: settings.drainMilliseconds, applyMilliseconds: settings.applyMilliseconds, logger: forPart(logger, 'Store'), random: Math.random,
 			onEra({feed}) {
 				eras.add(1, {feed});
 			},
 		});
 		followed.feeds = feeds;
-		const watch = ProcessorWatch.create(forPart(logger, 'Processor'), metrics, () => dispatcher.takeActivity());
+		const watch = EventLoopMonitor.create(forPart(logger, 'Processor'), metrics, () => dispatcher.takeQueueActivity());
 		const gateway = await Gateway.create({
 			...splitAddress(settings.callerAddress),
-			heldBodiesBytes: settings.memoryMegabytes * 1024 * 1024 * bodiesShare,
-			beliefs, dispatcher, channels, codec: adapter.codec, log: decisions, watch, logger: forPart(logger, 'Gateway'),
+			maxBufferedBodyBytes: settings.memoryMegabytes * 1024 * 1024 * bodiesShare,
+			routingState: beliefs, dispatcher, connectionPools: channels, codec: adapter.codec, log: decisions, eventLoopMonitor: watch, logger: forPart(logger, 'Gateway'),
 		});
-		metrics.observe('gateway_waiting', 'Requests that wait for a place.', () => dispatcher.waiting);
+		metrics.observe('gateway_waiting', 'Requests that wait for a place.', () => dispatcher.queueLength);
 		metrics.observe('gateway_open', 'Requests without their whole answer.', () => gateway.openRequests);
 		metrics.observe('gateway_peers', 'Other gateways connected.', () => peers.count);
 		metrics.observe('gateway_table_version', 'The routing table in force.', () => beliefs.table?.version ?? 0);
 		const admin = await AdminServer.create({...splitAddress(settings.adminAddress), metrics, readyPath: adapter.readyPath, isReady: () => gateway.isReady});
 		const prune = setInterval(() => {
 			beliefs.prune(performance.now());
-			dispatcher.book.prune(performance.now());
+			dispatcher.loadTracker.prune(performance.now());
 			channels.retain(new Set(beliefs.directory.entries.keys()));
 		}, pruneMilliseconds);
 		const timers = {
@@ -136,7 +136,7 @@
 		return this.#parts.gateway;
 	}
 
-	get beliefs(): Beliefs {
+	get beliefs(): RoutingState {
 		return this.#parts.beliefs;
 	}
 
@@ -196,7 +196,7 @@
 	}
 }
 
-type PeerParts = {readonly incarnation: string; readonly beliefs: Beliefs; readonly dispatcher: Dispatcher; readonly kept: KeptReader; readonly logger: Logger; readonly feeds: () => FollowedFeeds | undefined};
+type PeerParts = {readonly incarnation: string; readonly beliefs: RoutingState; readonly dispatcher: Dispatcher; readonly kept: PromptCacheReader; readonly logger: Logger; readonly feeds: () => FeedFollowers | undefined};
 
 async function openPeers(settings: GatewaySettings, {incarnation, beliefs, dispatcher, kept, logger, feeds}: PeerParts): Promise<Peers> {
 	const {host, port} = splitAddress(settings.peerAddress);
@@ -208,18 +208,18 @@
 		port,
 		security: {type: 'plaintext'},
 		seeds: settings.seedHosts.map(seed => `${seed.split(':', 1)[0]}:${port}`),
-		beliefs,
+		routingState: beliefs,
 		logger: forPart(logger, 'Peers'),
 		onLoad(event) {
-			dispatcher.takeLoad(event);
+			dispatcher.applyLoad(event);
 		},
-		onKept(list) {
-			kept.told(list.endpoint);
-			dispatcher.takeLoad({type: 'kept', ...list});
+		onPromptCache(list) {
+			kept.markRead(list.endpoint);
+			dispatcher.applyLoad({type: 'kept', ...list});
 		},
-		knowsEndpoints: () => (feeds()?.endpoints.age(performance.now()) ?? Infinity) < recentReadingMilliseconds,
-		onBehind() {
-			feeds()?.routing.doubt();
+		knowsEndpoints: () => (feeds()?.endpoints.millisecondsSinceRead(performance.now()) ?? Infinity) < recentPollMilliseconds,
+		onStaleTable() {
+			feeds()?.routing.abortLongPoll();
 		},
 		onView(view) {
 			dispatcher.view = view;
--- a/src/entry/claims/claim-guard.ts
+++ b/src/entry/claims/claim-guard.ts
@@ -1,12 +1,12 @@
 import {wait, type Body} from '../../concurrency/index.js';
 import {createFailure, FailureKind, Verdict, type Failure} from '../../model/index.js';
-import {type KeptAnswer} from '../../policy/claims/index.js';
-import {type ClaimKeeper, type ClaimOutcome, type ClaimRequest} from './keeper.js';
+import {type CachedResponse} from '../../policy/claims/index.js';
+import {type ClaimManager, type ClaimOutcome, type ClaimRequest} from './keeper.js';
 
 /** What the caller of a keyed request gets when it may not run. */
 export type ClaimStop
 	/** The key's request ran to its end, and this is its answer. */
-	= | {readonly type: 'answer'; readonly answer: KeptAnswer}
+	= | {readonly type: 'answer'; readonly answer: CachedResponse}
 		| {readonly type: 'failed'; readonly failure: Failure};
 
 /** How long the refusal of a request waits for its release: longer, and the caller is told *may have run*. */
@@ -18,7 +18,7 @@
  */
 export class ClaimGuard {
 	/** Claims at once; `onStop` is called if the claim fails. */
-	static create(keeper: ClaimKeeper, request: ClaimRequest, onStop: () => void): ClaimGuard {
+	static create(keeper: ClaimManager, request: ClaimRequest, onStop: () => void): ClaimGuard {
 		const guard = new ClaimGuard(keeper);
 		guard.#outcome = keeper.claim(request).then(outcome => {
 			guard.#stop = stopOf(outcome);
@@ -31,12 +31,12 @@
 		return guard;
 	}
 
-	readonly #keeper: ClaimKeeper;
+	readonly #keeper: ClaimManager;
 	#outcome!: Promise<ClaimOutcome>;
 	#stop: ClaimStop | undefined;
 	#started = false;
 
-	private constructor(keeper: ClaimKeeper) {
+	private constructor(keeper: ClaimManager) {
 		this.#keeper = keeper;
 	}
 
@@ -61,7 +61,7 @@
 	}
 
 	/** The request ran to its end at an endpoint. */
-	* finished(endpoint: string, answer?: KeptAnswer): Body<void> {
+	* finished(endpoint: string, answer?: CachedResponse): Body<void> {
 		const outcome = yield * wait(this.#outcome);
 		if (outcome.type === 'won') {
 			this.#keeper.finish(outcome.claimId, {endpoint, ...(answer && {answer})});
--- a/src/entry/claims/keeper.ts
+++ b/src/entry/claims/keeper.ts
@@ -3,8 +3,8 @@
 import {createFailure, FailureKind, Verdict, type Failure, type RequestId, type WorkspaceName} from '../../model/index.js';
 import {type LogClient} from '../../platform/types.js';
 import {
-	claimPartitions, createAnswers, findAnswer, isInWindow, keepAnswer, keyExpired, parseClaimKey,
-	type ClaimKey, type Holder, type KeptAnswer, type KeptAnswers,
+	claimPartitions, createResponseCache, findResponse, isInWindow, cacheResponse, createKeyExpiredFailure, parseClaimKey,
+	type ClaimKey, type Holder, type CachedResponse, type ResponseCache,
 } from '../../policy/claims/index.js';
 import {type Settlement} from './commands.js';
 import {ClaimPartition} from './partition.js';
@@ -29,7 +29,7 @@
 			readonly sameRequest: boolean;
 			/** The endpoint whose side may still have the answer. */
 			readonly endpoint?: string;
-			readonly answer?: KeptAnswer;
+			readonly answer?: CachedResponse;
 		}
 		| {readonly type: 'refused'; readonly failure: Failure};
 
@@ -58,15 +58,15 @@
  * Claims keys for the requests of one entry. A request may run only after `claim` said *won* and
  * `confirm` said true right before its body leaves.
  */
-export class ClaimKeeper implements AsyncDisposable {
-	static create(settings: ClaimKeeperSettings): ClaimKeeper {
-		return new ClaimKeeper(settings);
+export class ClaimManager implements AsyncDisposable {
+	static create(settings: ClaimKeeperSettings): ClaimManager {
+		return new ClaimManager(settings);
 	}
 
 	readonly #settings: Required<ClaimKeeperSettings>;
 	readonly #partitions: readonly ClaimPartition[];
 	readonly #held = new Map<string, Held>();
-	#answers: KeptAnswers = createAnswers();
+	#answers: ResponseCache = createResponseCache();
 
 	private constructor(settings: ClaimKeeperSettings) {
 		this.#settings = {
@@ -102,7 +102,7 @@
 
 		const {key} = parsed;
 		if (!isInWindow(key.time, this.#settings.wallClock())) {
-			return {type: 'refused', failure: keyExpired()};
+			return {type: 'refused', failure: createKeyExpiredFailure()};
 		}
 
 		const claimId = uuidv7();
@@ -162,7 +162,7 @@
 	}
 
 	/** The request ran to its end. Keeps the answer for a caller that lost it; `endpoint` tells other entries who else has it. */
-	finish(claimId: string, ended: {answer?: KeptAnswer; endpoint?: string} = {}): void {
+	finish(claimId: string, ended: {answer?: CachedResponse; endpoint?: string} = {}): void {
 		const held = this.#held.get(claimId);
 		if (!held) {
 			return;
@@ -170,7 +170,7 @@
 
 		this.#held.delete(claimId);
 		if (ended.answer) {
-			this.#answers = keepAnswer(this.#answers, claimId, ended.answer, this.#settings.monotonicClock());
+			this.#answers = cacheResponse(this.#answers, claimId, ended.answer, this.#settings.monotonicClock());
 		}
 
 		const {key} = held;
@@ -245,7 +245,7 @@
 
 	#outcomeOfRead({request, key, claimId, startedAt}: Claimed, holder: Holder | undefined): ClaimOutcome {
 		if (!holder) {
-			return {type: 'refused', failure: keyExpired()};
+			return {type: 'refused', failure: createKeyExpiredFailure()};
 		}
 
 		if (holder.claim === claimId) {
@@ -253,7 +253,7 @@
 			return {type: 'won', claimId};
 		}
 
-		const answer = findAnswer(this.#answers, holder.claim, this.#settings.monotonicClock());
+		const answer = findResponse(this.#answers, holder.claim, this.#settings.monotonicClock());
 		return {
 			type: 'lost', ownerInstance: holder.instance, requestId: holder.request as RequestId, finished: holder.finished,
 			sameRequest: holder.fingerprint === request.fingerprint,
--- a/src/entry/claims/partition.ts
+++ b/src/entry/claims/partition.ts
@@ -1,7 +1,7 @@
 import {v7 as uuidv7} from 'uuid';
 import {channel, receive, receiveWithin, sleep, spawn, tryDeliver, tryReceive, wait, type Body, type Channel, type Selected} from '../../concurrency/index.js';
 import {type LogClient, type LogRecord} from '../../platform/types.js';
-import {createClaims, foldClaims, holderOf, skipTo, streamOfPartition, type ClaimBatch, type ClaimItem, type Claims} from '../../policy/claims/index.js';
+import {createClaims, foldClaims, holderOf, skipToOffset, streamOfPartition, type ClaimBatch, type ClaimItem, type Claims} from '../../policy/claims/index.js';
 import {type Command, type Settlement} from './commands.js';
 
 /** Commands that wait while an append is on its way; more are refused as not run. */
@@ -241,7 +241,7 @@
 		try {
 			const page = yield * wait(this.#settings.log.read(this.#stream, this.#claims.next, {limit: pageLimit}));
 			if (page.type === 'gone') {
-				this.#claims = skipTo(this.#claims, page.first);
+				this.#claims = skipToOffset(this.#claims, page.first);
 				return {records: [], next: page.next};
 			}
 
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -8,7 +8,7 @@
 import {type Placement} from '../policy/placement/index.js';
 import {DecisionJournal, Metrics, type PartLogger, type StatusAnswer} from '../telemetry/index.js';
 import {type Security} from '../wire/index.js';
-import {type ClaimKeeper} from './claims/index.js';
+import {type ClaimManager} from './claims/index.js';
 import {type Caller} from './admission.js';
 import {EntryTelemetry} from './entry-telemetry.js';
 import {Fleet} from './fleet.js';
@@ -42,7 +42,7 @@
 	/** What is known of requests that crash endpoints; without it none is refused. */
 	readonly quarantine?: QuarantineLedger;
 	/** Claims idempotency keys; without it a keyed request that may not be repeated is refused. */
-	readonly claims?: ClaimKeeper;
+	readonly claims?: ClaimManager;
 	/** Metrics and decisions; a private one if left out. */
 	readonly telemetry?: EntryTelemetry;
 	readonly onPeerMessage?: (link: SideLink, message: CatalogueMessage) => void;
--- a/src/entry/limits/limiter.ts
+++ b/src/entry/limits/limiter.ts
@@ -4,8 +4,8 @@
 } from '../../concurrency/index.js';
 import {rankByRendezvous} from '../../policy/hashing/index.js';
 import {
-	admit, createKeeper, createLocal, finish, lacksLease, leaseShare, reportInterval, spendTokens, takeLease, takeReport,
-	type KeeperState, type Limits, type LocalDecision, type LocalState, type Standing,
+	admit, createAllocator, createLimiter, finish, lacksLease, grantLease, reportIntervalMilliseconds, spendTokens, applyLease, createReport,
+	type AllocatorState, type Limits, type LimiterDecision, type LimiterState, type FleetPosition,
 } from '../../policy/limits/index.js';
 import {Listener, type Connection, type Security} from '../../wire/index.js';
 import {KeeperPeer, type LimitLease, type LimitReport} from './peer.js';
@@ -34,7 +34,7 @@
 const firstLeaseWaiters = 64;
 
 type Held = {
-	state: LocalState;
+	state: LimiterState;
 	reportedAt: number;
 	/** When a wait for a lease was last in vain. */
 	disappointedAt: number;
@@ -64,7 +64,7 @@
 	#listener!: Listener;
 	readonly #connections = new Set<Connection>();
 	readonly #peers = new Map<string, KeeperPeer>();
-	readonly #keepers = new Map<string, KeeperState>();
+	readonly #keepers = new Map<string, AllocatorState>();
 	readonly #classes = new Map<string, Held>();
 	readonly #timer: NodeJS.Timeout;
 
@@ -91,7 +91,7 @@
 	 * that to others. Symptom: a limit is exceeded by whatever entries a class meets anew. The first
 	 * requests therefore wait a moment for the lease, unless the keeper did not answer just now.
 	 */
-	* admit(className: string, limits: Limits, promptTokens: number): Body<LocalDecision> {
+	* admit(className: string, limits: Limits, promptTokens: number): Body<LimiterDecision> {
 		if (!isLimited(limits)) {
 			return {type: 'admitted'};
 		}
@@ -146,7 +146,7 @@
 		}
 
 		const held: Held = {
-			state: createLocal({limits, standing: this.#standing()}, performance.now()),
+			state: createLimiter({limits, fleetPosition: this.#standing()}, performance.now()),
 			reportedAt: Number.NEGATIVE_INFINITY,
 			disappointedAt: Number.NEGATIVE_INFINITY,
 			waiting: new Set(),
@@ -155,14 +155,14 @@
 		return held;
 	}
 
-	#decide(held: Held, limits: Limits, promptTokens: number): LocalDecision {
-		const {state, decision} = admit(held.state, {limits, standing: this.#standing(), promptTokens}, performance.now());
+	#decide(held: Held, limits: Limits, promptTokens: number): LimiterDecision {
+		const {state, decision} = admit(held.state, {limits, fleetPosition: this.#standing(), promptTokens}, performance.now());
 		held.state = state;
 		return decision;
 	}
 
 	#isDue(held: Held, isUrgent: boolean): boolean {
-		return performance.now() - held.reportedAt >= reportInterval(held.state, isUrgent);
+		return performance.now() - held.reportedAt >= reportIntervalMilliseconds(held.state, isUrgent);
 	}
 
 	* #awaitLease(className: string, held: Held): Body<void> {
@@ -184,7 +184,7 @@
 		}
 	}
 
-	#standing(): Standing {
+	#standing(): FleetPosition {
 		const names = [...this.#options.entries().keys()].toSorted();
 		return {entries: Math.max(names.length, 1), position: Math.max(names.indexOf(this.#self), 0)};
 	}
@@ -212,7 +212,7 @@
 		const byKeeper = new Map<string, LimitReport['classes']>();
 		for (const name of names) {
 			const held = this.#classes.get(name)!;
-			const {state, demand} = takeReport(held.state, now);
+			const {state, demand} = createReport(held.state, now);
 			held.state = state;
 			held.reportedAt = now;
 			const keeper = rankByRendezvous(name, entries.keys())[0] ?? this.#self;
@@ -251,7 +251,7 @@
 				return [];
 			}
 
-			const {state, lease} = leaseShare(this.#keepers.get(name) ?? createKeeper(), {holder: report.holder, demand, limits}, now);
+			const {state, lease} = grantLease(this.#keepers.get(name) ?? createAllocator(), {holder: report.holder, demand, limits}, now);
 			this.#keepers.set(name, state);
 			return [{name, ...lease}];
 		});
@@ -266,7 +266,7 @@
 			const held = this.#classes.get(name);
 			const limits = this.#limitsOf(name);
 			if (held && limits) {
-				held.state = takeLease(held.state, {limits, standing}, lease, now);
+				held.state = applyLease(held.state, {limits, fleetPosition: standing}, lease, now);
 				for (const waiting of held.waiting) {
 					tryDeliver(waiting, true);
 				}
--- a/src/entry/model-call.ts
+++ b/src/entry/model-call.ts
@@ -4,7 +4,7 @@
 } from '../model/index.js';
 import {type QuarantineLedger} from '../platform/index.js';
 import {ReasonCode} from '../telemetry/index.js';
-import {ClaimGuard, eventsOf, keepEvents, type ClaimKeeper, type ClaimRequest, type ClaimStop} from './claims/index.js';
+import {ClaimGuard, eventsOf, keepEvents, type ClaimManager, type ClaimRequest, type ClaimStop} from './claims/index.js';
 import {type EntryTelemetry} from './entry-telemetry.js';
 import {type Fleet} from './fleet.js';
 import {type Answer, type ModelCall} from './protocol/index.js';
@@ -26,7 +26,7 @@
 	/** What is known of requests that crash endpoints. */
 	readonly quarantine?: QuarantineLedger;
 	/** For a request that may run once at most under its key. */
-	readonly claim?: {readonly keeper: ClaimKeeper; readonly request: ClaimRequest};
+	readonly claim?: {readonly keeper: ClaimManager; readonly request: ClaimRequest};
 };
 
 export type CallEnd
@@ -191,7 +191,7 @@
 
 		const {summary, retries} = this.#options;
 		const decision = retries.decide({
-			failure, attempts: this.#failures, idempotent: summary.idempotent, bodyLeft: true, deadline: this.#finder.deadline,
+			failure, attempts: this.#failures, idempotent: summary.idempotent, isBodySent: true, deadline: this.#finder.deadline,
 		});
 		if (decision.type === 'give-up') {
 			return false;
--- a/src/entry/request-server.ts
+++ b/src/entry/request-server.ts
@@ -6,7 +6,7 @@
 import {type QuarantineLedger} from '../platform/index.js';
 import {fingerprintOf} from '../policy/quarantine/index.js';
 import {type PartLogger} from '../telemetry/index.js';
-import {type ClaimKeeper, type ClaimRequest} from './claims/index.js';
+import {type ClaimManager, type ClaimRequest} from './claims/index.js';
 import {type Caller, checkTarget, identifyCaller, summarize} from './admission.js';
 import {type EntryTelemetry} from './entry-telemetry.js';
 import {type Fleet} from './fleet.js';
@@ -26,7 +26,7 @@
 	readonly catalogue: CatalogueSource;
 	readonly logger: PartLogger;
 	readonly quarantine?: QuarantineLedger;
-	readonly claims?: ClaimKeeper;
+	readonly claims?: ClaimManager;
 	readonly onEnd?: (caller: Caller, end: CallEnd) => void;
 	readonly fleet: Fleet;
 	readonly retries: RetryKeeper;
@@ -114,7 +114,7 @@
 	}
 
 	/** What must be claimed before the request may run: nothing, if it may be repeated or has no key. */
-	#claimOf(request: IncomingMessage, summary: RequestSummary, fingerprint: string): {keeper: ClaimKeeper; request: ClaimRequest} | undefined {
+	#claimOf(request: IncomingMessage, summary: RequestSummary, fingerprint: string): {keeper: ClaimManager; request: ClaimRequest} | undefined {
 		const key = headerText(request, 'idempotency-key');
 		if (summary.idempotent || key === undefined) {
 			return undefined;
--- a/src/entry/service-call.ts
+++ b/src/entry/service-call.ts
@@ -6,7 +6,7 @@
 import {type QuarantineLedger} from '../platform/index.js';
 import {type MessageOf, type StreamMessage} from '../wire/index.js';
 import {ReasonCode} from '../telemetry/index.js';
-import {ClaimGuard, type ClaimKeeper, type ClaimRequest, type ClaimStop} from './claims/index.js';
+import {ClaimGuard, type ClaimManager, type ClaimRequest, type ClaimStop} from './claims/index.js';
 import {type EntryTelemetry} from './entry-telemetry.js';
 import {type Fleet} from './fleet.js';
 import {drainedOrClosed} from './protocol/index.js';
@@ -36,7 +36,7 @@
 	/** What is known of requests that crash endpoints. */
 	readonly quarantine?: QuarantineLedger;
 	/** For a call that may run once at most under its key. */
-	readonly claim?: {readonly keeper: ClaimKeeper; readonly request: ClaimRequest};
+	readonly claim?: {readonly keeper: ClaimManager; readonly request: ClaimRequest};
 };
 
 type AttemptEnd
@@ -132,7 +132,7 @@
 		}
 
 		const decision = retries.decide({
-			failure, attempts: this.#attempts, idempotent: summary.idempotent, bodyLeft: true, deadline: this.#finder.deadline,
+			failure, attempts: this.#attempts, idempotent: summary.idempotent, isBodySent: true, deadline: this.#finder.deadline,
 		});
 		if (decision.type === 'give-up') {
 			return false;
--- a/src/gateway/attempt-follower.ts
+++ b/src/gateway/attempt-state.ts
@@ -3,7 +3,7 @@
 import {type Attempt, type AttemptEvent} from './attempt.js';
 import {type Decision} from './decision.js';
 import {EventSplitter} from './event-splitter.js';
-import {type AnswerFacts, type RawHeaders, type RequestCodec} from './types.js';
+import {type ResponseMetadata, type RawHeaders, type RequestCodec} from './types.js';
 
 /** Beyond prediction and target by this, silence counts against an endpoint though the request stays there. */
 const silenceMilliseconds = 400;
@@ -66,11 +66,11 @@
 
 	/** Takes the status line; an outcome means that what follows is not this request's answer. */
 	head({status, headers, rawHeaders}: Extract<AttemptEvent, {type: 'head'}>): Outcome | undefined {
-		const answer = this.#codec.readAnswer(status, headers);
+		const answer = this.#codec.readResponse(status, headers);
 		this.status = status;
 		this.rawHeaders = rawHeaders;
-		if (answer.isNotRun || answer.isOtherEndpoint) {
-			return {type: 'failed', verdict: Verdict.notRun, reason: answer.isOtherEndpoint ? 'other endpoint' : 'rejected'};
+		if (answer.isNotRun || answer.isMisdirected) {
+			return {type: 'failed', verdict: Verdict.notRun, reason: answer.isMisdirected ? 'other endpoint' : 'rejected'};
 		}
 
 		const fault = faultOf(answer, this.#requestId);
@@ -109,7 +109,7 @@
  * Failure: a late second answer, or another request's, arrives where this one's is due. Symptom: a
  * caller reads another caller's artwork. An answer that does not name this request is not passed on.
  */
-function faultOf(answer: AnswerFacts, requestId: string): string | undefined {
+function faultOf(answer: ResponseMetadata, requestId: string): string | undefined {
 	if (answer.requestId !== undefined && answer.requestId !== requestId) {
 		return 'answer of another request';
 	}
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -2,7 +2,7 @@
 import {type Socket} from 'node:net';
 import {splitAddress, type Verdict as VerdictType, Verdict} from '../model/index.js';
 import {watchConnection} from '../platform/index.js';
-import {type Channels} from './channels.js';
+import {type ConnectionPool} from './connection-pool.js';
 
 /** What one sending to one endpoint meets, in order. */
 export type AttemptEvent
@@ -19,7 +19,7 @@
 	readonly path: string;
 	readonly headers: string[];
 	readonly body: Uint8Array | undefined;
-	readonly channels: Channels;
+	readonly connectionPool: ConnectionPool;
 	readonly onEvent: (event: AttemptEvent) => void;
 };
 
@@ -51,7 +51,7 @@
 			method: options.method,
 			path: options.path,
 			headers: options.headers,
-			agent: options.channels,
+			agent: options.connectionPool,
 			setHost: false,
 		});
 		this.#connection = watchConnection(this.#sent);
--- a/src/gateway/channels.ts
+++ b/src/gateway/connection-pool.ts
@@ -32,9 +32,9 @@
  * answer, or a late second one. Symptom: they are read as the answer to the next request on that
  * connection. Whatever arrives on a connection that carries no request ends it.
  */
-export class Channels extends HookedAgent {
-	static create(largestConnections: number): Channels {
-		return new Channels(largestConnections);
+export class ConnectionPool extends HookedAgent {
+	static create(largestConnections: number): ConnectionPool {
+		return new ConnectionPool(largestConnections);
 	}
 
 	/** When each connection that is open was opened. */
--- a/src/gateway/channel-book.ts
+++ b/src/gateway/connection-pools.ts
@@ -1,5 +1,5 @@
 import {type EndpointRecord} from '../routing/index.js';
-import {Channels} from './channels.js';
+import {ConnectionPool} from './connection-pool.js';
 
 /** Where a service does not say how many connections its endpoints take. */
 const defaultConnections = 64;
@@ -7,15 +7,15 @@
 const connectionShare = 0.3;
 
 /** The kept connections of each endpoint. */
-export class ChannelBook implements Disposable {
-	static create(): ChannelBook {
-		return new ChannelBook();
+export class ConnectionPools implements Disposable {
+	static create(): ConnectionPools {
+		return new ConnectionPools();
 	}
 
-	readonly #channels = new Map<string, Channels>();
+	readonly #channels = new Map<string, ConnectionPool>();
 
-	of({id}: EndpointRecord, largestConnections = defaultConnections): Channels {
-		const held = this.#channels.get(id) ?? Channels.create(Math.max(8, Math.floor(largestConnections * connectionShare)));
+	of({id}: EndpointRecord, largestConnections = defaultConnections): ConnectionPool {
+		const held = this.#channels.get(id) ?? ConnectionPool.create(Math.max(8, Math.floor(largestConnections * connectionShare)));
 		this.#channels.set(id, held);
 		return held;
 	}
@@ -31,7 +31,7 @@
 	}
 
 	/** The endpoint has started again: what was sent to its incarnation before has ended with it. */
-	endOlder(id: string): void {
+	closeStaleConnections(id: string): void {
 		this.#channels.get(id)?.endOlder();
 	}
 
--- a/src/gateway/decision-log.ts
+++ b/src/gateway/decision-log.ts
@@ -79,9 +79,9 @@
 		const now = performance.now();
 		this.#decisions.add(1, {decision: 'placed'});
 		this.#write('Sent.', {
-			request: facts.id, route: route.name, version: table.version, rank: table.rank(route, service, workspace), endpoint: decision.record.id, unread: decision.unreadTokens,
-			fetched: decision.fetch?.tokens, from: decision.fetch?.from, least: decision.leastUnreadTokens, expected: Math.round(decision.expectedMilliseconds), speed: Math.round(dispatcher.book.speed(decision.record.service).tokensPerMillisecond),
-			candidates: decision.candidates, waited: Math.round(waitedMilliseconds), line: dispatcher.waiting, ...outcome,
+			request: facts.id, route: route.name, version: table.version, rank: table.rank(route, service, workspace), endpoint: decision.record.id, unread: decision.prefillTokens,
+			fetched: decision.fetch?.tokens, from: decision.fetch?.from, least: decision.leastPrefillTokens, expected: Math.round(decision.expectedMilliseconds), speed: Math.round(dispatcher.loadTracker.speed(decision.record.service).tokensPerMillisecond),
+			candidates: decision.candidates, waited: Math.round(waitedMilliseconds), line: dispatcher.queueLength, ...outcome,
 			firstEvent: firstEventAt === undefined ? undefined : Math.round(firstEventAt - startedAt), pause: Math.round(pauseMilliseconds), milliseconds: Math.round(now - startedAt),
 		});
 	}
--- a/src/gateway/decision.ts
+++ b/src/gateway/decision.ts
@@ -1,13 +1,13 @@
-import {type Demand, type Fetch, type Waiting} from '../policy/dispatch/index.js';
+import {type Demand, type Fetch, type QueuedRequest} from '../policy/dispatch/index.js';
 import {type EndpointRecord} from '../routing/index.js';
 
 /** One request that wants a place. */
-export type Ticket = Waiting & {
+export type PlacementRequest = QueuedRequest & {
 	readonly demand: Demand;
 	/** When it first passed over a free endpoint for a better one. */
-	passedOverAt?: number;
+	deferredAt?: number;
 	/** True while an endpoint is free to it and it waits for a better one, by the last look. */
-	isPassingOver?: boolean;
+	isDeferred?: boolean;
 	/** What it waits for, and when a look at it is worth while again. */
 	waitsFor?: {readonly endpoint: string; readonly until: number};
 	/** Endpoints that it has been at. */
@@ -19,9 +19,9 @@
 
 export type Decision
 	= | {
-		readonly type: 'placed'; readonly runId: string; readonly record: EndpointRecord; readonly unreadTokens: number;
+		readonly type: 'placed'; readonly runId: string; readonly record: EndpointRecord; readonly prefillTokens: number;
 		readonly fetch: (Fetch & {readonly address: string}) | undefined;
-		readonly expectedMilliseconds: number; readonly leastUnreadTokens: number; readonly candidates: number;
+		readonly expectedMilliseconds: number; readonly leastPrefillTokens: number; readonly candidates: number;
 	}
 	/** It can't be started in time, or nothing runs its service. */
 	| {
--- a/src/gateway/dispatcher.ts
+++ b/src/gateway/dispatcher.ts
@@ -1,22 +1,22 @@
 import {type InstanceId, type ZoneName} from '../model/index.js';
 import {
-	chanceOfPlace, choosePlace, type Circumstances, groupOf, LineLooks, LineTeller, LoadBook, type LoadEvent, type Place, reactionMilliseconds, readMilliseconds, type RetryAllowance, RetryShare,
+	sendProbability, choosePlace, type PlacementContext, groupKeyOf, ScanResults, QueueReporter, LoadTracker, type LoadEvent, type Place, propagationMilliseconds, prefillMilliseconds, type RetryAllowance, RetryShare,
 	runId, type Tuning, type Wait,
 } from '../policy/dispatch/index.js';
-import {aloneView, type FleetView} from '../policy/sharing/index.js';
+import {singleInstanceView, type FleetView} from '../policy/sharing/index.js';
 import {compareUrgency, type EndpointRecord} from '../routing/index.js';
 import {type PartLogger} from '../telemetry/index.js';
-import {type Beliefs} from './beliefs.js';
-import {RefusalReason, type Ticket} from './decision.js';
-import {EndpointBook, type Known} from './endpoint-book.js';
-import {type LineActivity, LineMeter} from './line-meter.js';
-import {unknownRetryMilliseconds, WaitingRoom} from './waiting-room.js';
+import {type RoutingState} from './routing-state.js';
+import {RefusalReason, type PlacementRequest} from './decision.js';
+import {EndpointBook, type Known} from './endpoint-pool.js';
+import {type LineActivity, LineMeter} from './queue-meter.js';
+import {unknownRetryMilliseconds, WaitingRoom} from './placement-queue.js';
 
 export type DispatcherOptions = {
 	/** This start of the instance: its runs bear the name. */
 	readonly incarnation: InstanceId;
 	readonly zone: ZoneName;
-	readonly beliefs: Beliefs;
+	readonly routingState: RoutingState;
 	readonly logger: PartLogger;
 	readonly allowance: RetryAllowance;
 	readonly random: () => number;
@@ -41,29 +41,29 @@
 		return new Dispatcher(options);
 	}
 
-	readonly book = LoadBook.create();
+	readonly loadTracker = LoadTracker.create();
 	readonly endpoints: EndpointBook;
 	readonly retries: RetryShare;
 	/** How much of the fleet this instance hears of. */
-	view: FleetView = aloneView;
+	view: FleetView = singleInstanceView;
 	readonly #options: DispatcherOptions;
 	readonly #room: WaitingRoom;
 	/** What the last try of the line has found. */
-	#looks = LineLooks.create();
+	#looks = ScanResults.create();
 	/** When the line may be tried again: it takes a bounded part of the process's time. */
 	#pumpAt = 0;
 	#timer: NodeJS.Timeout | undefined;
-	readonly #teller: LineTeller;
+	readonly #teller: QueueReporter;
 	readonly #meter = LineMeter.create();
 	#runCount = 0;
 
 	private constructor(options: DispatcherOptions) {
 		this.#options = options;
 		this.retries = RetryShare.create(options.allowance);
-		this.#teller = LineTeller.create(options.incarnation);
-		this.endpoints = EndpointBook.create({beliefs: options.beliefs, logger: options.logger, load: this.book});
+		this.#teller = QueueReporter.create(options.incarnation);
+		this.endpoints = EndpointBook.create({beliefs: options.routingState, logger: options.logger, load: this.loadTracker});
 		this.#room = WaitingRoom.create({
-			book: this.book, endpoints: this.endpoints, random: options.random,
+			book: this.loadTracker, endpoints: this.endpoints, random: options.random,
 			view: () => this.view,
 			onWaiting: () => {
 				this.#timer ??= setInterval(() => {
@@ -73,12 +73,12 @@
 		});
 	}
 
-	get waiting(): number {
+	get queueLength(): number {
 		return this.#room.size;
 	}
 
 	/** What was done for those that wait since it was asked last. */
-	takeActivity(): LineActivity {
+	takeQueueActivity(): LineActivity {
 		return this.#meter.take(this.#room.size);
 	}
 
@@ -90,8 +90,8 @@
 	 * Decides at once where it can; else the ticket waits, and its decision comes later. Who comes behind others that found everything
 	 * full joins them: a look of its own would find nothing, or take what they wait for.
 	 */
-	submit(ticket: Ticket): void {
-		const wait = ticket.demand.isTight || ticket.excluded.size > 0 ? undefined : this.#looks.waitOf(groupOf(ticket));
+	submit(ticket: PlacementRequest): void {
+		const wait = ticket.demand.isLatencyCritical || ticket.excluded.size > 0 ? undefined : this.#looks.waitMilliseconds(groupKeyOf(ticket));
 		if (wait === undefined) {
 			this.#try(ticket, this.#awaitedBefore(ticket));
 			return;
@@ -105,22 +105,22 @@
 		this.#room.withdraw(id);
 	}
 
-	firstEvent(runId: string): void {
+	recordFirstEvent(runId: string): void {
 		this.#tell({type: 'first-event', id: runId});
 	}
 
-	ended(runId: string): void {
+	recordEnd(runId: string): void {
 		this.#tell({type: 'ended', id: runId});
 		this.#pump();
 	}
 
 	/** Load that another instance tells of. */
-	takeLoad(event: LoadEvent): void {
-		this.book.step(event, performance.now());
+	applyLoad(event: LoadEvent): void {
+		this.loadTracker.step(event, performance.now());
 	}
 
 	/** True if the ticket has its decision; at the endpoints named in `awaited` others come first. What it finds is noted for those behind it. */
-	#try(ticket: Ticket, awaited: ReadonlySet<string>, looks?: LineLooks): boolean {
+	#try(ticket: PlacementRequest, awaited: ReadonlySet<string>, looks?: ScanResults): boolean {
 		const now = performance.now();
 		this.#meter.looked();
 		const {trial, usable} = this.endpoints.usable(ticket, now);
@@ -134,22 +134,22 @@
 		}
 
 		const candidates = usable.map(({candidate}) => candidate);
-		const demand = {...ticket.demand, waitedMilliseconds: now - (ticket.passedOverAt ?? now), elapsedMilliseconds: now - ticket.arrivedAt, isOutranked: this.#isOutranked(ticket, now)};
-		const choice = choosePlace(this.book, demand, candidates, this.#circumstances(ticket.demand.service, now));
+		const demand = {...ticket.demand, waitedMilliseconds: now - (ticket.deferredAt ?? now), elapsedMilliseconds: now - ticket.arrivedAt, isOutranked: this.#isOutranked(ticket, now)};
+		const choice = choosePlace(this.loadTracker, demand, candidates, this.#circumstances(ticket.demand.service, now));
 		if (choice.type === 'wait') {
-			ticket.isPassingOver = choice.isForBetter;
-			if (choice.isForBetter) {
-				ticket.passedOverAt ??= now;
+			ticket.isDeferred = choice.isDeferral;
+			if (choice.isDeferral) {
+				ticket.deferredAt ??= now;
 			}
 
 			this.#noteWait(ticket, choice, {looks, endpoints: candidates.length});
 			return this.#room.enqueue(ticket, choice, candidates);
 		}
 
-		ticket.isPassingOver = false;
-		if (awaited.has(choice.endpoint) || !this.#mayTake(ticket, choice.unreadTokens, candidates.length)) {
-			looks?.noteMiss(groupOf(ticket), {endpoints: candidates.length, milliseconds: tickMilliseconds});
-			return this.#room.enqueue(ticket, {type: 'wait', endpoint: choice.endpoint, milliseconds: tickMilliseconds, isForBetter: false}, candidates);
+		ticket.isDeferred = false;
+		if (awaited.has(choice.endpoint) || !this.#mayTake(ticket, choice.prefillTokens, candidates.length)) {
+			looks?.recordMiss(groupKeyOf(ticket), {endpoints: candidates.length, milliseconds: tickMilliseconds});
+			return this.#room.enqueue(ticket, {type: 'wait', endpoint: choice.endpoint, milliseconds: tickMilliseconds, isDeferral: false}, candidates);
 		}
 
 		const {record} = usable.find(known => known.record.id === choice.endpoint)!;
@@ -158,46 +158,46 @@
 	}
 
 	/** One that was at some endpoints already has fewer to choose from, which says nothing of the others of its group. */
-	#noteWait(ticket: Ticket, {isForBetter, milliseconds}: Wait, {looks, endpoints}: {looks: LineLooks | undefined; endpoints: number}): void {
+	#noteWait(ticket: PlacementRequest, {isDeferral: isForBetter, milliseconds}: Wait, {looks, endpoints}: {looks: ScanResults | undefined; endpoints: number}): void {
 		if (isForBetter) {
-			looks?.noteMiss(groupOf(ticket), {endpoints, milliseconds});
+			looks?.recordMiss(groupKeyOf(ticket), {endpoints, milliseconds});
 		} else if (ticket.excluded.size === 0) {
-			looks?.noteFull(groupOf(ticket), milliseconds);
+			looks?.recordFull(groupKeyOf(ticket), milliseconds);
 		}
 	}
 
-	#isOutranked({service, urgency, demand}: Ticket, now: number): boolean {
-		return this.#options.tuning.heedsLines && !demand.isTight && this.book.lines.outranks(service, urgency, now);
+	#isOutranked({service, urgency, demand}: PlacementRequest, now: number): boolean {
+		return this.#options.tuning.heedsLines && !demand.isLatencyCritical && this.loadTracker.peerQueues.hasMoreUrgent(service, urgency, now);
 	}
 
 	/** Where other instances are likely to want the same place, chance decides who takes it first. */
-	#mayTake(ticket: Ticket, unreadTokens: number, candidates: number): boolean {
+	#mayTake(ticket: PlacementRequest, prefillTokens: number, candidates: number): boolean {
 		const {service, urgency, demand} = ticket;
 		const {links, instances} = this.view;
 		const now = performance.now();
 		const unheard = links === 0 ? 1 : (instances - 1) / links;
-		const chance = chanceOfPlace({
-			contenders: this.book.lines.ahead(service, urgency, now) * unheard / candidates,
-			lookMilliseconds,
-			readingMilliseconds: readMilliseconds(this.book.speed(service), unreadTokens),
-			reactionMilliseconds: reactionMilliseconds(links),
+		const chance = sendProbability({
+			contenders: this.loadTracker.peerQueues.ahead(service, urgency, now) * unheard / candidates,
+			searchIntervalMilliseconds: lookMilliseconds,
+			prefillMilliseconds: prefillMilliseconds(this.loadTracker.speed(service), prefillTokens),
+			propagationMilliseconds: propagationMilliseconds(links),
 		});
-		return demand.isTight || this.#options.random() < chance;
+		return demand.isLatencyCritical || this.#options.random() < chance;
 	}
 
-	#circumstances(service: string, now: number): Circumstances {
-		const {zone, tuning, beliefs} = this.#options;
+	#circumstances(service: string, now: number): PlacementContext {
+		const {zone, tuning, routingState: beliefs} = this.#options;
 		const transfer = beliefs.table?.service(service)?.engine?.transfer;
 		return {
 			zone, now, tuning,
 			view: this.view,
-			reactionMilliseconds: reactionMilliseconds(this.view.links),
+			propagationMilliseconds: propagationMilliseconds(this.view.links),
 			fetchTokensPerMillisecond: transfer === undefined ? undefined : transfer.megabitsPerSecond * bitsEachMillisecond / bitsPerByte / transfer.bytesPerToken,
 		};
 	}
 
 	/** Endpoints that others wait for who are at least as urgent: who comes later must not take the place that comes free there. */
-	#awaitedBefore({urgency}: Ticket): ReadonlySet<string> {
+	#awaitedBefore({urgency}: PlacementRequest): ReadonlySet<string> {
 		const awaited = new Set<string>();
 		for (const waiting of this.#room.tickets) {
 			if (compareUrgency(waiting.urgency, urgency) <= 0 && waiting.waitsFor !== undefined) {
@@ -208,17 +208,17 @@
 		return awaited;
 	}
 
-	#place(ticket: Ticket, record: EndpointRecord, {candidates, unreadTokens, fetch, expectedMilliseconds, leastUnreadTokens}: Place & {candidates: number}): void {
+	#place(ticket: PlacementRequest, record: EndpointRecord, {candidates, prefillTokens, fetch, expectedMilliseconds, leastPrefillTokens}: Place & {candidates: number}): void {
 		const now = performance.now();
 		this.#meter.placed(this.#room.has(ticket.id));
-		this.#room.placed(ticket, unreadTokens, now);
+		this.#room.placed(ticket, prefillTokens, now);
 		this.#runCount += 1;
 		const id = runId(this.#options.incarnation, this.#runCount);
-		const {service, isTight, parts} = ticket.demand;
-		this.#tell({type: 'placed', run: {id, owner: this.#options.incarnation, endpoint: record.id, service, unreadTokens, isTight, parts}});
+		const {service, isLatencyCritical, parts} = ticket.demand;
+		this.#tell({type: 'placed', run: {id, owner: this.#options.incarnation, endpoint: record.id, service, prefillTokens, isLatencyCritical, parts}});
 		this.endpoints.noteSent(record, now);
-		const source = fetch === undefined ? undefined : this.#options.beliefs.directory.entries.get(fetch.from)?.record.address;
-		ticket.onDecision({type: 'placed', runId: id, record, unreadTokens, fetch: fetch === undefined || source === undefined ? undefined : {...fetch, address: source}, expectedMilliseconds, leastUnreadTokens, candidates});
+		const source = fetch === undefined ? undefined : this.#options.routingState.directory.entries.get(fetch.from)?.record.address;
+		ticket.onDecision({type: 'placed', runId: id, record, prefillTokens, fetch: fetch === undefined || source === undefined ? undefined : {...fetch, address: source}, expectedMilliseconds, leastPrefillTokens, candidates});
 	}
 
 	/**
@@ -226,8 +226,8 @@
 	 * Failure: it is full of what others sent before it was set aside. Symptom: all such requests look at
 	 * it alone and are refused. It is tried beside the others, never in place of them.
 	 */
-	#tryTrial(ticket: Ticket, trial: Known, now: number): boolean {
-		const choice = choosePlace(this.book, {...ticket.demand, elapsedMilliseconds: now - ticket.arrivedAt}, [trial.candidate], this.#circumstances(ticket.demand.service, now));
+	#tryTrial(ticket: PlacementRequest, trial: Known, now: number): boolean {
+		const choice = choosePlace(this.loadTracker, {...ticket.demand, elapsedMilliseconds: now - ticket.arrivedAt}, [trial.candidate], this.#circumstances(ticket.demand.service, now));
 		if (choice.type === 'wait') {
 			return false;
 		}
@@ -242,7 +242,7 @@
 		if (this.#room.size === 0) {
 			clearInterval(this.#timer);
 			this.#timer = undefined;
-			this.#looks = LineLooks.create();
+			this.#looks = ScanResults.create();
 			return;
 		}
 
@@ -258,7 +258,7 @@
 		this.#room.expire(now);
 		// What an earlier one waits for, a later one does not take; other endpoints are free to it.
 		const awaited = new Set<string>();
-		const looks = LineLooks.create();
+		const looks = ScanResults.create();
 		this.#looks = looks;
 		for (const ticket of this.#room.ordered(now)) {
 			if (this.#room.has(ticket.id) && !this.#decide(ticket, {awaited, looks, now}) && ticket.waitsFor !== undefined) {
@@ -268,12 +268,12 @@
 	}
 
 	/** True if it has left the line. */
-	#decide(ticket: Ticket, {awaited, looks, now}: {awaited: ReadonlySet<string>; looks: LineLooks; now: number}): boolean {
+	#decide(ticket: PlacementRequest, {awaited, looks, now}: {awaited: ReadonlySet<string>; looks: ScanResults; now: number}): boolean {
 		if (ticket.waitsFor !== undefined && ticket.waitsFor.until > now) {
 			return false;
 		}
 
-		const wait = ticket.demand.isTight ? undefined : looks.waitOf(groupOf(ticket));
+		const wait = ticket.demand.isLatencyCritical ? undefined : looks.waitMilliseconds(groupKeyOf(ticket));
 		return wait === undefined ? this.#try(ticket, awaited, looks) : this.#room.joinBehind(ticket, wait, now);
 	}
 
@@ -287,14 +287,14 @@
 			return;
 		}
 
-		const waiting = [...this.#room.tickets].filter(({demand, isPassingOver}) => !demand.isTight && isPassingOver !== true);
+		const waiting = [...this.#room.tickets].filter(({demand, isDeferred: isPassingOver}) => !demand.isLatencyCritical && isPassingOver !== true);
 		for (const event of this.#teller.events(waiting, now)) {
 			this.#options.onLoad(event);
 		}
 	}
 
 	#tell(event: LoadEvent): void {
-		this.book.step(event, performance.now());
+		this.loadTracker.step(event, performance.now());
 		this.#options.onLoad(event);
 	}
 }
--- a/src/gateway/endpoint-book.ts
+++ b/src/gateway/endpoint-pool.ts
@@ -1,8 +1,8 @@
-import {availability, type Candidate, createEndpointHealth, type EndpointHealth, type HealthEvent, inOrder, type LoadBook, stepEndpointHealth} from '../policy/dispatch/index.js';
-import {type EndpointEntry, type EndpointRecord, Standing, standingOf} from '../routing/index.js';
+import {availability, type Candidate, createEndpointHealth, type EndpointHealth, type HealthEvent, inHashOrder, type LoadTracker, stepEndpointHealth} from '../policy/dispatch/index.js';
+import {type EndpointEntry, type EndpointRecord, EndpointStatus, endpointStatusOf} from '../routing/index.js';
 import {type PartLogger} from '../telemetry/index.js';
-import {type Beliefs} from './beliefs.js';
-import {type Ticket} from './decision.js';
+import {type RoutingState} from './routing-state.js';
+import {type PlacementRequest} from './decision.js';
 
 /** A service's usual share of errors, from about its last hundred answers. */
 const usualWeight = 0.01;
@@ -13,7 +13,7 @@
 /** Where one request may go now. */
 export type Usable = {readonly trial: Known | undefined; readonly usable: readonly Known[]};
 
-export type EndpointBookOptions = {readonly beliefs: Beliefs; readonly logger: PartLogger; readonly load: LoadBook};
+export type EndpointBookOptions = {readonly beliefs: RoutingState; readonly logger: PartLogger; readonly load: LoadTracker};
 
 /** The endpoints of each service as placement sees them, and their health as this instance's own answers show it. */
 export class EndpointBook {
@@ -44,18 +44,18 @@
 	 * resort only where the service has no other endpoint at all, be it one that this request has been at:
 	 * word of a leaving comes late.
 	 */
-	usable(ticket: Ticket, now: number): Usable {
+	usable(ticket: PlacementRequest, now: number): Usable {
 		const lists = {open: [] as Known[], trial: [] as Known[], suspended: [] as Known[], ending: [] as Known[]};
 		let hasReady = false;
 		for (const known of this.#knownOf(ticket.demand.service)) {
-			const standing = standingOf(known.entry, now);
-			hasReady ||= standing === Standing.ready;
-			if (standing === Standing.gone || ticket.excluded.has(known.record.id)) {
+			const standing = endpointStatusOf(known.entry, now);
+			hasReady ||= standing === EndpointStatus.ready;
+			if (standing === EndpointStatus.gone || ticket.excluded.has(known.record.id)) {
 				continue;
 			}
 
 			const health = this.#health.get(known.record.id);
-			lists[standing === Standing.ready ? (health === undefined ? 'open' : availability(health, now)) : 'ending'].push(known);
+			lists[standing === EndpointStatus.ready ? (health === undefined ? 'open' : availability(health, now)) : 'ending'].push(known);
 		}
 
 		const usable = [lists.open, lists.trial, lists.suspended, hasReady ? [] : lists.ending].find(list => list.length > 0) ?? [];
@@ -92,7 +92,7 @@
 		return [...this.#options.beliefs.directory.entries.values()].some(entry => entry.record.service === service
 			&& entry.record.id !== record.id
 			&& !excluded.has(entry.record.id)
-			&& standingOf(entry, now) === Standing.ready
+			&& endpointStatusOf(entry, now) === EndpointStatus.ready
 			&& availability(this.#health.get(entry.record.id) ?? createEndpointHealth(), now) === 'open');
 	}
 
@@ -106,11 +106,11 @@
 		const {beliefs, load} = this.#options;
 		const memoryTokens = beliefs.table?.service(service)?.engine?.memoryTokens;
 		const entries = [...beliefs.directory.entries.values()].filter(({record}) => record.service === service);
-		const candidates = inOrder(entries.map(({record}) => ({id: record.id, zone: record.zone, slots: record.slots, isEngine: memoryTokens !== undefined})));
+		const candidates = inHashOrder(entries.map(({record}) => ({id: record.id, zone: record.zone, slots: record.slots, isEngine: memoryTokens !== undefined})));
 		const byId = new Map(entries.map(entry => [entry.record.id, entry]));
 		const known = candidates.map(candidate => {
 			const entry = byId.get(candidate.id)!;
-			load.setMemory(candidate.id, memoryTokens ?? 0);
+			load.setCacheCapacity(candidate.id, memoryTokens ?? 0);
 			return {candidate, entry, record: entry.record};
 		});
 		this.#known.set(service, known);
--- a/src/gateway/final-answer.ts
+++ b/src/gateway/error-response.ts
@@ -1,10 +1,10 @@
 import {Verdict} from '../model/index.js';
-import {type Outcome} from './attempt-follower.js';
+import {type Outcome} from './attempt-state.js';
 import {type Caller} from './caller.js';
-import {type RequestCodec, type RequestFacts} from './types.js';
+import {type RequestCodec, type RequestMetadata} from './types.js';
 
 /** Whom to answer, and in whose words. */
-export type Answering = {readonly caller: Caller; readonly codec: RequestCodec; readonly facts: RequestFacts};
+export type Answering = {readonly caller: Caller; readonly codec: RequestCodec; readonly facts: RequestMetadata};
 
 /** What is known of a request that ends without its endpoint's whole answer. */
 export type Ending = {readonly verdict: Verdict; readonly hasBeenSent: boolean; readonly retryAfterMilliseconds: number};
@@ -20,13 +20,13 @@
 	}
 
 	if (outcome.type === 'failed' && outcome.endpointAnswer !== undefined) {
-		caller.head(outcome.endpointAnswer.status, codec.answer(outcome.endpointAnswer.headers));
+		caller.head(outcome.endpointAnswer.status, codec.responseHeaders(outcome.endpointAnswer.headers));
 		caller.end(outcome.endpointAnswer.body);
 		return;
 	}
 
 	const mayHaveRun = verdict !== Verdict.notRun || (outcome.type === 'expired' && hasBeenSent);
 	caller.answer(mayHaveRun
-		? {status: outcome.type === 'expired' ? 504 : 502, message: 'The endpoint gave no whole answer; the request may have run.', headers: codec.ownAnswer(facts)}
-		: {status: 503, message: 'The request has not run.', headers: codec.ownAnswer(facts), retryAfterMilliseconds});
+		? {status: outcome.type === 'expired' ? 504 : 502, message: 'The endpoint gave no whole answer; the request may have run.', headers: codec.gatewayResponseHeaders(facts)}
+		: {status: 503, message: 'The request has not run.', headers: codec.gatewayResponseHeaders(facts), retryAfterMilliseconds});
 }
--- a/src/gateway/processor-watch.ts
+++ b/src/gateway/event-loop-monitor.ts
@@ -1,6 +1,6 @@
 import {performance} from 'node:perf_hooks';
 import {type Metrics, type PartLogger} from '../telemetry/index.js';
-import {type LineActivity} from './line-meter.js';
+import {type LineActivity} from './queue-meter.js';
 
 const summaryMilliseconds = 1000;
 /** From this share of its time on a process is short of it: what arrives waits for several others. */
@@ -11,10 +11,10 @@
  * processor time, and all that it does is late. Symptom: requests wait before any decision is logged, and neither the line nor the
  * endpoints explain it. One line a second tells so while it lasts.
  */
-export class ProcessorWatch implements Disposable {
+export class EventLoopMonitor implements Disposable {
 	/** `line` tells what was done for requests that wait for a place since it was asked last. */
-	static create(logger: PartLogger, metrics: Metrics, line: () => LineActivity): ProcessorWatch {
-		return new ProcessorWatch(logger, metrics, line);
+	static create(logger: PartLogger, metrics: Metrics, line: () => LineActivity): EventLoopMonitor {
+		return new EventLoopMonitor(logger, metrics, line);
 	}
 
 	/** The part of the last second in which it was at work, 0 to 1. */
--- a/src/gateway/exchange-options.ts
+++ b/src/gateway/exchange-options.ts
@@ -1,16 +1,16 @@
 import {type AlarmEvent} from '../concurrency/index.js';
 import {type RoutingTable, type Route, type Workspace} from '../routing/index.js';
-import {type Outcome} from './attempt-follower.js';
+import {type Outcome} from './attempt-state.js';
 import {type Caller} from './caller.js';
-import {type ChannelBook} from './channel-book.js';
+import {type ConnectionPools} from './connection-pools.js';
 import {type Decision} from './decision.js';
 import {type DecisionLog} from './decision-log.js';
 import {type Dispatcher} from './dispatcher.js';
-import {type RawHeaders, type RequestCodec, type RequestFacts} from './types.js';
+import {type RawHeaders, type RequestCodec, type RequestMetadata} from './types.js';
 
 /** One request, what it is judged by, and the parts that serve it. */
 export type ExchangeOptions = {
-	readonly facts: RequestFacts;
+	readonly facts: RequestMetadata;
 	readonly method: string;
 	readonly path: string;
 	readonly rawHeaders: RawHeaders;
@@ -22,7 +22,7 @@
 	readonly caller: Caller;
 	readonly codec: RequestCodec;
 	readonly dispatcher: Dispatcher;
-	readonly channels: ChannelBook;
+	readonly channels: ConnectionPools;
 	readonly log: DecisionLog;
 	/** When its first byte was here, on the monotonic clock. */
 	readonly arrivedAt: number;
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -1,14 +1,14 @@
 import {Alarm, type Body, channel, receive, tryDeliver, tryReceive} from '../concurrency/index.js';
 import {combineVerdicts, Verdict} from '../model/index.js';
-import {type Demand, leaveAt} from '../policy/dispatch/index.js';
+import {type Demand, failoverAt} from '../policy/dispatch/index.js';
 import {type EndpointRecord, RouteKind} from '../routing/index.js';
-import {AnswerPasser} from './answer-passer.js';
+import {AnswerPasser} from './response-forwarder.js';
 import {Attempt} from './attempt.js';
-import {AttemptFollower, type Outcome} from './attempt-follower.js';
+import {AttemptFollower, type Outcome} from './attempt-state.js';
 import {type Decision} from './decision.js';
 import {type ExchangeEvent, type ExchangeOptions} from './exchange-options.js';
-import {answerFinally} from './final-answer.js';
-import {demandOf, ticketOf} from './ticket.js';
+import {answerFinally} from './error-response.js';
+import {demandOf, placementRequestOf} from './placement-request.js';
 
 /** Events of one exchange that may wait: no more than one of each kind is ever under way. */
 const inboxCapacity = 16;
@@ -44,7 +44,7 @@
 			caller: options.caller,
 			codec: options.codec,
 			onFirstEvent(follower) {
-				options.dispatcher.firstEvent(follower.decision.runId);
+				options.dispatcher.recordFirstEvent(follower.decision.runId);
 			},
 			onDrained: () => {
 				tryDeliver(this.#inbox, {type: 'drained'});
@@ -86,7 +86,7 @@
 		const ticketId = `${facts.id}#${this.#sendings}`;
 		this.#alarm.set(this.#limitAt - now);
 		dispatcher.submit({
-			...ticketOf(this.#options, this.#demand),
+			...placementRequestOf(this.#options, this.#demand),
 			id: ticketId,
 			lastStartAt: Math.min(this.#limitAt - leastMilliseconds, patienceAt),
 			excluded: this.#excluded,
@@ -122,7 +122,7 @@
 	#returnLatePlace(): void {
 		for (let event = tryReceive(this.#inbox); event !== undefined; event = tryReceive(this.#inbox)) {
 			if (event.type === 'decided' && event.decision.type === 'placed') {
-				this.#options.dispatcher.ended(event.decision.runId);
+				this.#options.dispatcher.recordEnd(event.decision.runId);
 			}
 		}
 	}
@@ -133,7 +133,7 @@
 		const {record, runId} = decision;
 		const left = this.#limitAt - performance.now();
 		if (left < leastMilliseconds || this.#options.caller.hasLeft) {
-			dispatcher.ended(runId);
+			dispatcher.recordEnd(runId);
 			return this.#options.caller.hasLeft ? {type: 'left'} : {type: 'expired'};
 		}
 
@@ -144,12 +144,12 @@
 			address: record.address,
 			method,
 			path,
-			headers: codec.forward({
+			headers: codec.requestHeaders({
 				rawHeaders, bodyBytes: body?.length, endpoint: record.id, workspace,
-				milliseconds: Math.floor(left), resumeAfter: this.#answer.lastEventId, fetchFrom: decision.fetch?.address, route,
+				remainingMilliseconds: Math.floor(left), resumeAfter: this.#answer.lastEventId, fetchFrom: decision.fetch?.address, route,
 			}),
 			body,
-			channels: channels.of(record, this.#options.table.service(record.service)?.largestConnections),
+			connectionPool: channels.of(record, this.#options.table.service(record.service)?.largestConnections),
 			onEvent: event => {
 				const outcome = this.#answer.take(follower, event);
 				if (outcome !== undefined) {
@@ -162,7 +162,7 @@
 		const outcome = yield * this.#follow(follower, alarm);
 		attempt.cancel();
 		this.#answer.isPaused = false;
-		dispatcher.ended(runId);
+		dispatcher.recordEnd(runId);
 		this.#excluded.add(record.id);
 		this.#judge(record, outcome, follower);
 		this.#options.log.sent(this.#options, decision, {
@@ -224,7 +224,7 @@
 		}
 
 		const {targetMilliseconds, longestPauseMilliseconds} = route;
-		return leaveAt({sentAt, lastEventAt: follower.lastEventAt, targetMilliseconds, longestPauseMilliseconds, expectedMilliseconds: follower.decision.expectedMilliseconds});
+		return failoverAt({sentAt, lastEventAt: follower.lastEventAt, targetMilliseconds, longestPauseMilliseconds, expectedMilliseconds: follower.decision.expectedMilliseconds});
 	}
 
 	#timeOut(follower: AttemptFollower, sentAt: number): Outcome | undefined {
@@ -252,7 +252,7 @@
 		if (outcome.type === 'done') {
 			dispatcher.endpoints.report(record, 'answered');
 			if (!follower.isStream && follower.decision.candidates > 0) {
-				dispatcher.book.learnWork(record.service, performance.now() - follower.startedAt);
+				dispatcher.loadTracker.recordServiceTime(record.service, performance.now() - follower.startedAt);
 			}
 		} else if (outcome.type === 'failed') {
 			dispatcher.endpoints.report(record, follower.status > 0 && outcome.verdict !== Verdict.mayHaveRun ? 'failed' : 'unreachable');
--- a/src/gateway/feed-follower.ts
+++ b/src/gateway/feed-follower.ts
@@ -1,6 +1,6 @@
 import {type Body, channel, receiveWithin, sleep, spawn, tryDeliver, tryReceive, wait} from '../concurrency/index.js';
 import {type LogPosition} from '../model/index.js';
-import {type ChangeReading, type ReadingPause, retryPause} from '../policy/sharing/index.js';
+import {type LongPoll, type PollPosition, pollRetryDelay} from '../policy/sharing/index.js';
 import {type PartLogger} from '../telemetry/index.js';
 import {type Feed, type FeedPage, type FeedReading} from './types.js';
 
@@ -16,9 +16,9 @@
 	/** What is read is to be known at every instance within this. */
 	readonly applyMilliseconds: number;
 	/** How long one reading may wait for the first change; 0 reads what is there. */
-	readonly waitMilliseconds: (reading: ChangeReading) => number;
+	readonly waitMilliseconds: (reading: LongPoll) => number;
 	/** From the end of one reading to the start of the next, after so many readings. */
-	readonly pauseMilliseconds: (pause: ReadingPause) => number;
+	readonly pauseMilliseconds: (pause: PollPosition) => number;
 	/** Changes in their order. */
 	readonly onChanges: (items: readonly Item[]) => void;
 	/** Everything that the store names, read in an era; returns how much of what it lacks is kept on trust. */
@@ -71,7 +71,7 @@
 	}
 
 	/** Milliseconds since the store last answered. */
-	age(now: number): number {
+	millisecondsSinceRead(now: number): number {
 		return now - this.#lastReadAt;
 	}
 
@@ -88,7 +88,7 @@
 	 * Gives up a reading that waits for a change, and asks for what is there. Failure: the connection on which it waits went silent, or the
 	 * store did. Symptom: nothing comes on it for as long as its wait lasts, though the store has been back for long.
 	 */
-	doubt(): void {
+	abortLongPoll(): void {
 		if (this.#waiting !== undefined) {
 			this.#options.logger.info('Waiting reading given up, asking the store at once.', {feed: this.#options.feed.name});
 			this.#isDoubted = true;
@@ -117,7 +117,7 @@
 	* #readOnce(): Body<void> {
 		const {feed, logger} = this.#options;
 		if (this.#next === undefined) {
-			this.#takeWhole(yield * wait(feed.readNewest()));
+			this.#takeWhole(yield * wait(feed.readSnapshot()));
 			yield * this.#pause();
 			return;
 		}
@@ -151,7 +151,7 @@
 
 	* #readChanges(from: LogPosition): Body<FeedReading<Item>> {
 		const {feed, others, waitMilliseconds} = this.#options;
-		const milliseconds = waitMilliseconds({others: others(), readings: this.#calmReadings, isDoubted: this.#isDoubted});
+		const milliseconds = waitMilliseconds({others: others(), polls: this.#calmReadings, isStoreUnresponsive: this.#isDoubted});
 		const reading = new AbortController();
 		this.#waiting = milliseconds > 0 ? reading : undefined;
 		try {
@@ -166,7 +166,7 @@
 		this.#readings += 1;
 		const {pauseMilliseconds, random} = this.#options;
 		const from = performance.now();
-		const pause = {readings: this.#readings, draw: random()};
+		const pause = {polls: this.#readings, draw: random()};
 		for (;;) {
 			const left = pauseMilliseconds(pause) - (performance.now() - from);
 			if (left <= 0 || this.#isStopped) {
@@ -236,7 +236,7 @@
 
 		const {others, pauseMilliseconds, random, applyMilliseconds, onFailed} = this.#options;
 		onFailed();
-		const usual = pauseMilliseconds({readings: this.#readings, draw: random()});
-		yield * sleep(retryPause({failures: this.#failures, others: others(), hasRead: this.#next !== undefined, usualMilliseconds: usual, applyMilliseconds}, random()));
+		const usual = pauseMilliseconds({polls: this.#readings, draw: random()});
+		yield * sleep(pollRetryDelay({failures: this.#failures, others: others(), hasRead: this.#next !== undefined, pollIntervalMilliseconds: usual, applyMilliseconds}, random()));
 	}
 }
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -3,29 +3,29 @@
 import {type AddressInfo} from 'node:net';
 import {spawn} from '../concurrency/index.js';
 import {chooseService} from '../routing/index.js';
-import {retryWithoutTable} from '../policy/dispatch/index.js';
+import {retryAfterWithoutTable} from '../policy/dispatch/index.js';
 import {hash32} from '../policy/hashing/index.js';
 import {type PartLogger} from '../telemetry/index.js';
-import {type Beliefs} from './beliefs.js';
+import {type RoutingState} from './routing-state.js';
 import {Caller} from './caller.js';
-import {type ChannelBook} from './channel-book.js';
+import {type ConnectionPools} from './connection-pools.js';
 import {type DecisionLog} from './decision-log.js';
 import {type Dispatcher} from './dispatcher.js';
 import {Exchange} from './exchange.js';
-import {type ProcessorWatch} from './processor-watch.js';
-import {type RequestCodec, type RequestFacts} from './types.js';
+import {type EventLoopMonitor} from './event-loop-monitor.js';
+import {type RequestCodec, type RequestMetadata} from './types.js';
 
 export type GatewayOptions = {
 	readonly host: string;
 	readonly port: number;
 	/** Bytes of callers' bodies that may be held at one time. */
-	readonly heldBodiesBytes: number;
-	readonly beliefs: Beliefs;
+	readonly maxBufferedBodyBytes: number;
+	readonly routingState: RoutingState;
 	readonly dispatcher: Dispatcher;
-	readonly channels: ChannelBook;
+	readonly connectionPools: ConnectionPools;
 	readonly codec: RequestCodec;
 	readonly log: DecisionLog;
-	readonly watch: ProcessorWatch;
+	readonly eventLoopMonitor: EventLoopMonitor;
 	readonly logger: PartLogger;
 };
 
@@ -37,7 +37,7 @@
  * Failure: a long stream that is taken after three seconds of the stop has no time to end. Symptom: it is
  * cut in the middle. What comes later goes to another instance.
  */
-export const openMilliseconds = 2700;
+export const drainListenMilliseconds = 2700;
 /** A whole request takes no longer to arrive than this, whatever its headers promise. */
 const requestMilliseconds = 30_000;
 const defaultIdleMilliseconds = 15_000;
@@ -75,7 +75,7 @@
 				socket.destroy();
 			}
 		});
-		options.beliefs.onChange(change => {
+		options.routingState.onChange(change => {
 			if (change.type === 'table') {
 				this.#server.keepAliveTimeout = change.input.limits.idleMilliseconds;
 				this.#server.headersTimeout = change.input.limits.headerMilliseconds;
@@ -92,7 +92,7 @@
 	}
 
 	get isReady(): boolean {
-		return !this.#isStopping && this.#options.beliefs.table !== undefined && this.#options.beliefs.directory.entries.size > 0;
+		return !this.#isStopping && this.#options.routingState.table !== undefined && this.#options.routingState.directory.entries.size > 0;
 	}
 
 	/** Serves what is open and what still comes, and resolves once nothing is left. */
@@ -103,7 +103,7 @@
 		}
 
 		await new Promise(resolve => {
-			setTimeout(resolve, openMilliseconds);
+			setTimeout(resolve, drainListenMilliseconds);
 		});
 		this.#server.close();
 		this.#server.closeIdleConnections();
@@ -149,19 +149,19 @@
 	}
 
 	async #serve(request: IncomingMessage, response: ServerResponse, arrivedAt: number): Promise<void> {
-		const {beliefs, codec, log} = this.#options;
+		const {routingState: beliefs, codec, log} = this.#options;
 		const caller = Caller.create(request, response);
 		const read = codec.readRequest(request.headers);
 		const facts = read.type === 'facts' ? read.facts : undefined;
 		const turnAway = (status: number, message: string, more: {retryAfterMilliseconds?: number; closesConnection?: boolean} = {}): void => {
 			log.turnedAway(facts?.id, status, {message, version: beliefs.table?.version});
 			request.resume();
-			caller.answer({status, message, headers: codec.ownAnswer(facts), ...more});
+			caller.answer({status, message, headers: codec.gatewayResponseHeaders(facts), ...more});
 		};
 
 		const {table} = beliefs;
 		if (table === undefined) {
-			turnAway(503, 'No routing table yet; the request has not run.', {retryAfterMilliseconds: retryWithoutTable(arrivedAt - this.#startedAt)});
+			turnAway(503, 'No routing table yet; the request has not run.', {retryAfterMilliseconds: retryAfterWithoutTable(arrivedAt - this.#startedAt)});
 			return;
 		}
 
@@ -185,7 +185,7 @@
 		}
 
 		const announced = Number(request.headers['content-length'] ?? 0);
-		if (this.#heldBytes + announced > this.#options.heldBodiesBytes) {
+		if (this.#heldBytes + announced > this.#options.maxBufferedBodyBytes) {
 			turnAway(503, 'Too many bodies are held; the request has not run.', {retryAfterMilliseconds: fullRetryMilliseconds});
 			return;
 		}
@@ -203,7 +203,7 @@
 
 		const readAt = performance.now();
 		await nextTurn();
-		this.#options.watch.noteTurn(performance.now() - readAt);
+		this.#options.eventLoopMonitor.noteTurn(performance.now() - readAt);
 		if (caller.hasLeft) {
 			log.turnedAway(facts?.id, 0, {message: 'The caller left before its request was placed.'});
 			return;
@@ -213,7 +213,7 @@
 		this.#heldBytes += held;
 		const exchange = Exchange.create({
 			facts: read.facts, method: request.method ?? 'GET', path, rawHeaders: request.rawHeaders, body: outcome.body, table, route, service,
-			workspace: access.workspace, caller, codec, dispatcher: this.#options.dispatcher, channels: this.#options.channels, log, arrivedAt,
+			workspace: access.workspace, caller, codec, dispatcher: this.#options.dispatcher, channels: this.#options.connectionPools, log, arrivedAt,
 		});
 		try {
 			await spawn('exchange', () => exchange.run());
--- a/src/gateway/index.ts
+++ b/src/gateway/index.ts
@@ -1,17 +1,17 @@
 /** Carries opaque requests to endpoints and their answers back. */
 export type * from './types.js';
-export {Beliefs, type BeliefChange, type BeliefSource} from './beliefs.js';
-export {ChannelBook} from './channel-book.js';
+export {RoutingState, type BeliefChange, type BeliefSource} from './routing-state.js';
+export {ConnectionPools} from './connection-pools.js';
 export {DecisionLog} from './decision-log.js';
-export {RefusalReason, type Decision, type Foreseen, type Ticket} from './decision.js';
+export {RefusalReason, type Decision, type Foreseen, type PlacementRequest} from './decision.js';
 export {Dispatcher} from './dispatcher.js';
 export {EventSplitter} from './event-splitter.js';
 export {FeedFollower, type EraChange} from './feed-follower.js';
-export {Gateway, openMilliseconds} from './gateway.js';
-export {demandOf, ticketOf, type Asked} from './ticket.js';
+export {Gateway, drainListenMilliseconds} from './gateway.js';
+export {demandOf, placementRequestOf, type Asked} from './placement-request.js';
 export {type PeerRecord, PeerRoster} from './peer-roster.js';
-export {greetingOf} from './peer-messages.js';
+export {initialMessages} from './peer-messages.js';
 export {Peers} from './peers.js';
-export {followFeeds, type Announced, type FollowedFeeds, type InstanceAnnouncement, type StoreFeeds} from './store-feeds.js';
-export * from './kept-reader.js';
-export * from './processor-watch.js';
+export {followFeeds, type PeerRegistry, type FeedFollowers, type InstanceAnnouncement, type StoreFeeds} from './store-feeds.js';
+export * from './prompt-cache-reader.js';
+export * from './event-loop-monitor.js';
--- a/src/gateway/peer-messages.ts
+++ b/src/gateway/peer-messages.ts
@@ -1,8 +1,8 @@
 import {decodeLoad, type LoadEvent, unflattenParts} from '../policy/dispatch/index.js';
-import {type EndpointChange, placeOf} from '../routing/index.js';
+import {type EndpointChange, positionOf} from '../routing/index.js';
 import {type Connection, type GatewayMessage} from '../wire/index.js';
-import {type BeliefChange, type Beliefs} from './beliefs.js';
-import {type KeptParts} from './kept-reader.js';
+import {type BeliefChange, type RoutingState} from './routing-state.js';
+import {type KeptParts} from './prompt-cache-reader.js';
 
 /** What ended within this time is told to whoever has read the endpoints lately: longer ago than any such reading. */
 const recentMilliseconds = 20_000;
@@ -31,11 +31,11 @@
  * are busy with lists that say what they have just read themselves, while callers come back. Who has read lately is told what
  * has ended since then. Who is used on trust alone is not passed on: word of it would be trusted anew, from one instance to the next.
  */
-export function greetingOf({tableInput, directory}: Beliefs, {knowsEndpoints, now}: {readonly knowsEndpoints: boolean; readonly now: number}): GatewayMessage[] {
-	const told = [...directory.entries.values()].filter(({trustedUntil, endedAt}) => trustedUntil === undefined && (!knowsEndpoints || (endedAt !== undefined && now - endedAt < recentMilliseconds)));
+export function initialMessages({tableInput, directory}: RoutingState, {knowsEndpoints, now}: {readonly knowsEndpoints: boolean; readonly now: number}): GatewayMessage[] {
+	const told = [...directory.entries.values()].filter(({unconfirmedUntil, endedAt}) => unconfirmedUntil === undefined && (!knowsEndpoints || (endedAt !== undefined && now - endedAt < recentMilliseconds)));
 	const changes = told.map(({record, registrations, endedAt}): EndpointChange => endedAt === undefined || record.isLeaving
-		? {type: 'registered', ...placeOf(registrations), record}
-		: {type: 'removed', ...placeOf(registrations), id: record.id});
+		? {type: 'registered', ...positionOf(registrations), record}
+		: {type: 'removed', ...positionOf(registrations), id: record.id});
 	return [
 		...(tableInput === undefined ? [] : [{type: 'routing-version', version: tableInput.version} as const]),
 		...(changes.length === 0 ? [] : [{type: 'endpoints', changes} as const]),
@@ -44,7 +44,7 @@
 
 /** Who sent a message, and what it changes here. */
 export type Hearing = {
-	readonly beliefs: Beliefs;
+	readonly beliefs: RoutingState;
 	readonly connection: Connection;
 	readonly instance: string;
 	readonly incarnation: string;
@@ -70,12 +70,12 @@
 		}
 
 		case 'routing': {
-			beliefs.offerTable(message.table, `instance ${instance}`);
+			beliefs.applyTable(message.table, `instance ${instance}`);
 			return;
 		}
 
 		case 'endpoints': {
-			beliefs.offerEndpoints(message.changes, `instance ${instance}`, performance.now());
+			beliefs.applyEndpointChanges(message.changes, `instance ${instance}`, performance.now());
 			return;
 		}
 
--- a/src/gateway/peer-roster.ts
+++ b/src/gateway/peer-roster.ts
@@ -32,18 +32,18 @@
 	}
 
 	/** The other instances. */
-	get names(): readonly string[] {
+	get instanceNames(): readonly string[] {
 		return [...this.#known.keys()];
 	}
 
 	/** How many other instances there are, as far as is known. */
-	get reachable(): number {
+	get reachableCount(): number {
 		return [...this.#known.values()].filter(({address}) => !this.#isGone(address)).length;
 	}
 
 	/** True where each instance is linked with all others. */
 	get isMesh(): boolean {
-		return this.neighbours.linked.size === this.reachable;
+		return this.neighbours.linked.size === this.reachableCount;
 	}
 
 	get neighbours(): Neighbours {
@@ -56,7 +56,7 @@
 	}
 
 	/** Takes announcements; the newest of an instance counts. Those in a whole reading stood before this instance read it. */
-	know(records: readonly PeerRecord[], isWhole: boolean): void {
+	addPeers(records: readonly PeerRecord[], isWhole: boolean): void {
 		for (const record of records.filter(({instance}) => instance !== this.#own.name)) {
 			if (isWhole) {
 				this.#older.add(record.instance);
@@ -69,16 +69,16 @@
 		}
 	}
 
-	forget(instance: string): void {
+	removePeer(instance: string): void {
 		this.#known.delete(instance);
 		this.#neighbours = undefined;
 	}
 
 	/** Addresses to dial now: missing neighbours, now and then who seemed gone, and seeds while nobody is linked. */
-	due(linked: ReadonlySet<string>, seeds: readonly string[], now: number): string[] {
+	addressesToDial(linked: ReadonlySet<string>, seeds: readonly string[], now: number): string[] {
 		const {neighbours} = this;
 		const wanted = [...this.#known.values()].filter(({instance, address}) => !linked.has(instance) && (
-			neighbours.dialled.includes(instance) || (neighbours.linked.has(instance) && this.#older.has(instance)) || (instance > this.#own.name && this.#isGone(address))
+			neighbours.dials.includes(instance) || (neighbours.linked.has(instance) && this.#older.has(instance)) || (instance > this.#own.name && this.#isGone(address))
 		));
 		const addresses = new Set([...wanted.map(({address}) => address), ...(linked.size === 0 ? seeds : [])]);
 		return [...addresses].filter(address => {
@@ -88,7 +88,7 @@
 	}
 
 	/** An address is dialled; returns the pause until it is dialled again, in milliseconds. */
-	tried(address: string, now: number): number {
+	recordDial(address: string, now: number): number {
 		const before = this.#tries.get(address);
 		const pause = Math.min(redialMilliseconds.longest, before === undefined ? redialMilliseconds.first : before.pause * 2);
 		this.#note(address, {at: now, pause, vain: (before?.vain ?? 0) + 1});
@@ -96,7 +96,7 @@
 	}
 
 	/** A connection with an address stood. */
-	reached(address: string): void {
+	recordConnected(address: string): void {
 		if (this.#tries.delete(address)) {
 			this.#neighbours = undefined;
 		}
--- a/src/gateway/peers.ts
+++ b/src/gateway/peers.ts
@@ -1,13 +1,13 @@
 import {type Body, receive, sleep, spawn, wait} from '../concurrency/index.js';
-import {flattenParts, type LoadEvent, tellingInterval} from '../policy/dispatch/index.js';
+import {flattenParts, type LoadEvent, batchIntervalMilliseconds} from '../policy/dispatch/index.js';
 import {type FleetView} from '../policy/sharing/index.js';
 import {type Connection, dial, encodeFrame, type GatewayMessage, isGatewayMessage, Listener, type Message, protocolVersion} from '../wire/index.js';
-import {type KeptParts} from './kept-reader.js';
+import {type KeptParts} from './prompt-cache-reader.js';
 import {LoadBatch} from './load-batch.js';
-import {greetingOf, hear, messageOf} from './peer-messages.js';
+import {initialMessages, hear, messageOf} from './peer-messages.js';
 import {type PeerRecord, PeerRoster} from './peer-roster.js';
 import {type PeersOptions} from './peers-options.js';
-import {TablePull} from './table-pull.js';
+import {RoutingTablePuller} from './routing-table-puller.js';
 
 /** How often missing neighbours are dialled, and heartbeats are looked at. */
 const lookMilliseconds = 1000;
@@ -44,8 +44,8 @@
 	readonly #options: PeersOptions;
 	readonly #roster: PeerRoster;
 	readonly #links = new Map<string, Link>();
-	readonly #pull: TablePull;
-	readonly #load = LoadBatch.create(() => tellingInterval(this.#links.size), rows => {
+	readonly #pull: RoutingTablePuller;
+	readonly #load = LoadBatch.create(() => batchIntervalMilliseconds(this.#links.size), rows => {
 		this.#broadcast({type: 'load', rows});
 	});
 
@@ -57,19 +57,19 @@
 		this.#options = options;
 		this.#roster = PeerRoster.create({name: options.instance, zone: options.zone});
 		this.#seeds = options.seeds.filter(seed => seed !== `${options.host}:${options.port}`);
-		this.#pull = TablePull.create({
-			ownVersion: () => options.beliefs.table?.version,
+		this.#pull = RoutingTablePuller.create({
+			ownVersion: () => options.routingState.table?.version,
 			holders: () => [...this.#links.values()].map(({instance, routingVersion, connection}) => ({
 				instance,
 				version: routingVersion,
-				ask() {
+				requestTable() {
 					connection.send({type: 'routing-wanted'});
 				},
 			})),
 			logger: options.logger,
-			onBehind: options.onBehind,
+			onStaleTable: options.onStaleTable,
 		});
-		options.beliefs.onChange(change => {
+		options.routingState.onChange(change => {
 			const message = messageOf(change);
 			if (message !== undefined) {
 				this.#broadcast(message);
@@ -82,34 +82,34 @@
 	}
 
 	/** The other instances that announced themselves. */
-	get names(): readonly string[] {
-		return this.#roster.names;
+	get instanceNames(): readonly string[] {
+		return this.#roster.instanceNames;
 	}
 
 	/** In a mesh the links tell how many are live; an instance without links knows of nobody who would tell it anything. */
 	get view(): FleetView {
 		const links = this.#links.size;
-		return {links, instances: (links === 0 || this.#roster.isMesh ? links : Math.max(links, this.#roster.reachable)) + 1};
+		return {links, instances: (links === 0 || this.#roster.isMesh ? links : Math.max(links, this.#roster.reachableCount)) + 1};
 	}
 
 	/** Tells all neighbours what an endpoint holds of prompts. */
-	tellKept({endpoint, parts}: KeptParts): void {
+	broadcastPromptCache({endpoint, parts}: KeptParts): void {
 		this.#broadcast({type: 'kept', endpoint, parts: flattenParts(parts)});
 	}
 
 	/** Takes announcements; the newest of an instance counts. A whole reading names those that stood before it. */
-	know(records: readonly PeerRecord[], isWhole: boolean): void {
-		this.#roster.know(records, isWhole);
+	addPeers(records: readonly PeerRecord[], isWhole: boolean): void {
+		this.#roster.addPeers(records, isWhole);
 		this.#options.onView(this.view);
 	}
 
-	forget(instance: string): void {
-		this.#roster.forget(instance);
+	removePeer(instance: string): void {
+		this.#roster.removePeer(instance);
 		this.#options.onView(this.view);
 	}
 
 	/** Tells the neighbours, together with what else happens within a few milliseconds. */
-	tellLoad(event: LoadEvent): void {
+	broadcastLoad(event: LoadEvent): void {
 		if (this.#links.size === 0) {
 			return;
 		}
@@ -137,7 +137,7 @@
 
 	* #keepLinks(): Body<void> {
 		while (!this.#isClosed) {
-			for (const address of this.#roster.due(new Set(this.#links.keys()), this.#seeds, performance.now())) {
+			for (const address of this.#roster.addressesToDial(new Set(this.#links.keys()), this.#seeds, performance.now())) {
 				void spawn('dial peer', () => this.#dial(address));
 			}
 
@@ -159,7 +159,7 @@
 	}
 
 	* #dial(address: string): Body<void> {
-		const pause = this.#roster.tried(address, performance.now());
+		const pause = this.#roster.recordDial(address, performance.now());
 		try {
 			const connection = yield * wait(dial(address, this.#options.security));
 			yield * this.#serve(connection, address);
@@ -201,13 +201,13 @@
 			return undefined;
 		}
 
-		const {beliefs, onLoad, onKept} = this.#options;
+		const {routingState: beliefs, onLoad, onPromptCache: onKept} = this.#options;
 		const {instance, incarnation} = link;
 		hear(message, {
 			beliefs, connection, instance, incarnation, onLoad, onKept,
 			onVersion: version => {
 				link.routingVersion = version;
-				this.#pull.heard();
+				this.#pull.handlePeerVersion();
 			},
 		});
 		return link;
@@ -217,7 +217,7 @@
 		const held = this.#links.get(hello.instance);
 		const isDialled = address !== undefined;
 		if (isDialled) {
-			this.#roster.reached(address);
+			this.#roster.recordConnected(address);
 		}
 
 		if (hello.protocol !== protocolVersion || hello.instance === this.#options.instance) {
@@ -238,7 +238,7 @@
 		this.#links.set(hello.instance, link);
 		this.#options.onView(this.view);
 		this.#options.logger.info('Peer connected.', {peer: hello.instance, incarnation: hello.incarnation, peers: this.#links.size});
-		for (const message of greetingOf(this.#options.beliefs, {knowsEndpoints: hello.knowsEndpoints, now: performance.now()})) {
+		for (const message of initialMessages(this.#options.routingState, {knowsEndpoints: hello.knowsEndpoints, now: performance.now()})) {
 			connection.send(message);
 		}
 
--- a/src/gateway/waiting-room.ts
+++ b/src/gateway/placement-queue.ts
@@ -1,11 +1,11 @@
-import {type Candidate, lineMilliseconds, type LoadBook, retryAfter, UnreadShares, type Wait, WaitingLine} from '../policy/dispatch/index.js';
+import {type Candidate, expectedQueueMilliseconds, type LoadTracker, retryAfter, PrefillShares, type Wait, WaitingQueue} from '../policy/dispatch/index.js';
 import {type FleetView} from '../policy/sharing/index.js';
 import {compareUrgency} from '../routing/index.js';
-import {type Foreseen, RefusalReason, type Ticket} from './decision.js';
-import {type EndpointBook} from './endpoint-book.js';
+import {type Foreseen, RefusalReason, type PlacementRequest} from './decision.js';
+import {type EndpointBook} from './endpoint-pool.js';
 
 export type WaitingRoomOptions = {
-	readonly book: LoadBook;
+	readonly book: LoadTracker;
 	readonly endpoints: EndpointBook;
 	readonly random: () => number;
 	readonly view: () => FleetView;
@@ -29,9 +29,9 @@
 	}
 
 	readonly #options: WaitingRoomOptions;
-	readonly #line = WaitingLine.create();
-	readonly #tickets = new Map<string, Ticket>();
-	readonly #unreadShares = UnreadShares.create();
+	readonly #line = WaitingQueue.create();
+	readonly #tickets = new Map<string, PlacementRequest>();
+	readonly #unreadShares = PrefillShares.create();
 
 	private constructor(options: WaitingRoomOptions) {
 		this.#options = options;
@@ -41,7 +41,7 @@
 		return this.#line.size;
 	}
 
-	get tickets(): Iterable<Ticket> {
+	get tickets(): Iterable<PlacementRequest> {
 		return this.#tickets.values();
 	}
 
@@ -50,7 +50,7 @@
 	}
 
 	/** Those that wait, in the order in which they are tried. */
-	ordered(now: number): Ticket[] {
+	ordered(now: number): PlacementRequest[] {
 		return this.#line.ordered(now).flatMap(({id}) => this.#tickets.get(id) ?? []);
 	}
 
@@ -61,10 +61,10 @@
 	}
 
 	/** A request got a place, where so much of its prompt has to be read. */
-	placed(ticket: Ticket, unreadTokens: number, now: number): void {
+	placed(ticket: PlacementRequest, prefillTokens: number, now: number): void {
 		this.withdraw(ticket.id);
 		this.#line.charge(ticket, now);
-		this.#unreadShares.note(ticket.demand.service, unreadTokens / ticket.work);
+		this.#unreadShares.record(ticket.demand.service, prefillTokens / ticket.work);
 	}
 
 	/** Refuses those that can't be started in time any more. */
@@ -75,7 +75,7 @@
 	}
 
 	/** True if it left the line; a ticket that can't be started in time is refused at once. */
-	enqueue(ticket: Ticket, {endpoint, milliseconds}: Wait, candidates: readonly Candidate[]): boolean {
+	enqueue(ticket: PlacementRequest, {endpoint, milliseconds}: Wait, candidates: readonly Candidate[]): boolean {
 		const now = performance.now();
 		const hasLeft = this.#join(ticket, {now, candidates, foreseen: this.#foresee(ticket, {endpointMilliseconds: milliseconds, candidates, now})});
 		if (!hasLeft) {
@@ -86,19 +86,19 @@
 	}
 
 	/** What another of its group has found is enough to tell whether it can still be started in time; true if it can't, and is refused. */
-	joinBehind(ticket: Ticket, endpointMilliseconds: number, now: number): boolean {
+	joinBehind(ticket: PlacementRequest, endpointMilliseconds: number, now: number): boolean {
 		const candidates = this.#options.endpoints.candidatesOf(ticket.service);
 		return this.#join(ticket, {now, candidates, foreseen: this.#foresee(ticket, {endpointMilliseconds, candidates, now})});
 	}
 
-	refuse(ticket: Ticket, reason: RefusalReason, {milliseconds, candidates, foreseen}: Refusal): void {
+	refuse(ticket: PlacementRequest, reason: RefusalReason, {milliseconds, candidates, foreseen}: Refusal): void {
 		this.withdraw(ticket.id);
 		const retryAfterMilliseconds = retryAfter(milliseconds, this.#options.random());
 		ticket.onDecision({type: 'refused', reason, retryAfterMilliseconds, candidates, ahead: this.#line.ahead(ticket.service, ticket.urgency).count, waiting: this.#line.size, foreseen});
 	}
 
 	/** Lets it wait, unless it can't be started in time or the line is full; true if it is refused. */
-	#join(ticket: Ticket, {now, candidates, foreseen}: {now: number; candidates: readonly Candidate[]; foreseen: Foreseen}): boolean {
+	#join(ticket: PlacementRequest, {now, candidates, foreseen}: {now: number; candidates: readonly Candidate[]; foreseen: Foreseen}): boolean {
 		const expected = foreseen.endpoint + foreseen.line;
 		if (expected > foreseen.left) {
 			this.refuse(ticket, RefusalReason.tooLate, {milliseconds: expected, candidates: candidates.length, foreseen});
@@ -124,7 +124,7 @@
 	 * Failure: a line full of drafts turns away whoever comes. Symptom: a confirmation that would be next is refused. Of the
 	 * least urgent the last to come leaves for it; among equals those who came first stay.
 	 */
-	#makeRoom({urgency}: Ticket, now: number): boolean {
+	#makeRoom({urgency}: PlacementRequest, now: number): boolean {
 		const last = this.#line.last();
 		const leaving = last === undefined || compareUrgency(last.urgency, urgency) <= 0 ? undefined : this.#tickets.get(last.id);
 		if (leaving === undefined) {
@@ -136,19 +136,19 @@
 		return true;
 	}
 
-	#foresee(ticket: Ticket, {endpointMilliseconds, candidates, now}: {endpointMilliseconds: number; candidates: readonly Candidate[]; now: number}): Foreseen {
+	#foresee(ticket: PlacementRequest, {endpointMilliseconds, candidates, now}: {endpointMilliseconds: number; candidates: readonly Candidate[]; now: number}): Foreseen {
 		return {endpoint: endpointMilliseconds, line: this.#lineMilliseconds(ticket, candidates, now), left: ticket.lastStartAt - now};
 	}
 
-	#lineMilliseconds({service, urgency}: Ticket, candidates: readonly Candidate[], now: number): number {
+	#lineMilliseconds({service, urgency}: PlacementRequest, candidates: readonly Candidate[], now: number): number {
 		const {book, view} = this.#options;
-		return lineMilliseconds(this.#line.ahead(service, urgency), {
+		return expectedQueueMilliseconds(this.#line.ahead(service, urgency), {
 			candidates,
 			instances: view().instances,
 			tokensPerMillisecond: book.speed(service).tokensPerMillisecond,
-			unreadShare: this.#unreadShares.of(service),
+			prefillShare: this.#unreadShares.of(service),
 			startedWorkRate: this.#line.startedWorkRate(service, now),
-			workMilliseconds: book.workMilliseconds(service),
+			serviceTimeMilliseconds: book.serviceTimeMilliseconds(service),
 		});
 	}
 }
--- a/src/gateway/ticket.ts
+++ b/src/gateway/placement-request.ts
@@ -1,11 +1,11 @@
 import {type Demand, tokensOf} from '../policy/dispatch/index.js';
 import {type Route, type RoutingTable, type UrgencyPair, type Workspace} from '../routing/index.js';
-import {type Ticket} from './decision.js';
-import {type RequestFacts} from './types.js';
+import {type PlacementRequest} from './decision.js';
+import {type RequestMetadata} from './types.js';
 
 /** What decides a request's place among others. */
 export type Asked = {
-	readonly facts: RequestFacts;
+	readonly facts: RequestMetadata;
 	readonly table: RoutingTable;
 	readonly route: Route;
 	readonly service: string;
@@ -30,9 +30,9 @@
 		urgencies: table.urgencies(service),
 		targetMilliseconds: route.targetMilliseconds,
 		parts: facts.parts,
-		isTight: table.isTightest(route, service),
-		pauseMilliseconds: route.longestPauseMilliseconds,
-		tightestPauseMilliseconds: table.tightestPause(service),
+		isLatencyCritical: table.isLatencyCritical(route, service),
+		maxPauseMilliseconds: route.longestPauseMilliseconds,
+		strictestPauseMilliseconds: table.strictestPauseMilliseconds(service),
 		waitedMilliseconds: 0,
 		elapsedMilliseconds: 0,
 		isOutranked: false,
@@ -40,11 +40,11 @@
 }
 
 /** Its place in the line, the same for each of its sendings. */
-export function ticketOf({facts, route, workspace, arrivedAt}: Asked, demand: Demand): Pick<Ticket, 'workspace' | 'service' | 'urgency' | 'work' | 'arrivedAt' | 'inTimeUntil' | 'demand'> {
+export function placementRequestOf({facts, route, workspace, arrivedAt}: Asked, demand: Demand): Pick<PlacementRequest, 'workspace' | 'service' | 'urgency' | 'work' | 'arrivedAt' | 'inTimeUntil' | 'demand'> {
 	return {
 		workspace: workspace?.name ?? '',
 		service: demand.service,
-		urgency: demand.isTight ? tightUrgency : {route: route.urgency, workspace: workspace?.urgency},
+		urgency: demand.isLatencyCritical ? tightUrgency : {route: route.urgency, workspace: workspace?.urgency},
 		work: facts.outputTokens + tokensOf(facts.parts) + 1,
 		arrivedAt,
 		inTimeUntil: arrivedAt + (route.targetMilliseconds * startShare),
--- a/src/gateway/kept-reader.ts
+++ b/src/gateway/prompt-cache-reader.ts
@@ -1,14 +1,14 @@
 import {type PromptPart, tokensOf} from '../policy/dispatch/index.js';
 import {rankByRendezvous} from '../policy/hashing/index.js';
 import {type PartLogger} from '../telemetry/index.js';
-import {type Beliefs} from './beliefs.js';
+import {type RoutingState} from './routing-state.js';
 
 /** What an endpoint holds of prompts, as it says itself. */
 export type KeptParts = {readonly endpoint: string; readonly parts: readonly PromptPart[]};
 
 export type KeptReaderOptions = {
 	readonly instance: string;
-	readonly beliefs: Beliefs;
+	readonly routingState: RoutingState;
 	/** The instances that are known, this one included or not. */
 	readonly instances: () => readonly string[];
 	readonly read: (address: string) => Promise<readonly PromptPart[]>;
@@ -31,9 +31,9 @@
  * beginnings are sent where they have to be read again, just when callers come back. Each engine is
  * asked once by one of the instances, which tells the others; the next one asks where that fails.
  */
-export class KeptReader implements Disposable {
-	static create(options: KeptReaderOptions): KeptReader {
-		return new KeptReader(options);
+export class PromptCacheReader implements Disposable {
+	static create(options: KeptReaderOptions): PromptCacheReader {
+		return new PromptCacheReader(options);
 	}
 
 	readonly #options: KeptReaderOptions;
@@ -43,7 +43,7 @@
 
 	private constructor(options: KeptReaderOptions) {
 		this.#options = options;
-		options.beliefs.onChange(() => {
+		options.routingState.onChange(() => {
 			this.#look();
 		});
 	}
@@ -55,7 +55,7 @@
 	}
 
 	/** Another instance read this endpoint's list. */
-	told(endpoint: string): void {
+	markRead(endpoint: string): void {
 		this.#known.add(endpoint);
 	}
 
@@ -64,7 +64,7 @@
 			return;
 		}
 
-		const {table, directory} = this.#options.beliefs;
+		const {table, directory} = this.#options.routingState;
 		for (const {record, endedAt} of directory.entries.values()) {
 			const isListing = table?.service(record.service)?.engine?.listsKept === true;
 			if (isListing && endedAt === undefined && !this.#timers.has(record.id)) {
--- a/src/gateway/answer-passer.ts
+++ b/src/gateway/response-forwarder.ts
@@ -1,6 +1,6 @@
 import {Verdict} from '../model/index.js';
 import {type AttemptEvent} from './attempt.js';
-import {type AttemptFollower, type Outcome} from './attempt-follower.js';
+import {type AttemptFollower, type Outcome} from './attempt-state.js';
 import {type Caller} from './caller.js';
 import {type RequestCodec} from './types.js';
 
@@ -70,7 +70,7 @@
 
 		follower.hold(bytes);
 		if (follower.heldBytes > heldBytes) {
-			this.#options.caller.head(follower.status, this.#options.codec.answer(follower.rawHeaders));
+			this.#options.caller.head(follower.status, this.#options.codec.responseHeaders(follower.rawHeaders));
 			this.#write(follower, follower.takeHeld());
 			follower.isPassing = true;
 		}
@@ -100,7 +100,7 @@
 			}
 
 			if (!caller.hasAnswer) {
-				caller.head(follower.status, codec.answer(follower.rawHeaders));
+				caller.head(follower.status, codec.responseHeaders(follower.rawHeaders));
 			}
 
 			this.lastEventId = event.id ?? this.lastEventId;
@@ -134,7 +134,7 @@
 			return {type: 'failed', verdict: Verdict.ran, reason: `status ${follower.status}`, endpointAnswer: answer};
 		}
 
-		caller.head(answer.status, codec.answer(answer.headers));
+		caller.head(answer.status, codec.responseHeaders(answer.headers));
 		caller.end(answer.body);
 		return {type: 'done'};
 	}
@@ -146,7 +146,7 @@
 		}
 
 		if (!caller.hasAnswer) {
-			caller.head(follower.status, codec.answer(follower.rawHeaders));
+			caller.head(follower.status, codec.responseHeaders(follower.rawHeaders));
 		}
 
 		caller.end();
--- a/src/gateway/beliefs.ts
+++ b/src/gateway/routing-state.ts
@@ -1,4 +1,4 @@
-import {EndpointDirectory, type EndpointChange, type EndpointEntry, isYounger, placeOf, RoutingTable, type RoutingTableInput} from '../routing/index.js';
+import {EndpointDirectory, type EndpointChange, type EndpointEntry, isLaterIncarnation, positionOf, RoutingTable, type RoutingTableInput} from '../routing/index.js';
 import {type PartLogger} from '../telemetry/index.js';
 
 /** What the process newly believes; only news, never a repetition. */
@@ -23,9 +23,9 @@
  * or a peer brings an older version after a newer one was used. Symptom: a key that was taken away
  * works again. Versions, eras, places in the store's log and revisions only move forward here, whoever tells.
  */
-export class Beliefs {
-	static create(logger: PartLogger): Beliefs {
-		return new Beliefs(logger);
+export class RoutingState {
+	static create(logger: PartLogger): RoutingState {
+		return new RoutingState(logger);
 	}
 
 	readonly #logger: PartLogger;
@@ -54,7 +54,7 @@
 		this.#listeners.push(listener);
 	}
 
-	offerTable(input: RoutingTableInput, source: BeliefSource): void {
+	applyTable(input: RoutingTableInput, source: BeliefSource): void {
 		const before = this.#table?.version;
 		if (before !== undefined && input.version < before) {
 			this.#logger.info('Older routing table passed over.', {version: input.version, inForce: before, source});
@@ -71,7 +71,7 @@
 		this.#tell({type: 'table', input}, source);
 	}
 
-	offerEndpoints(changes: readonly EndpointChange[], source: BeliefSource, now: number): void {
+	applyEndpointChanges(changes: readonly EndpointChange[], source: BeliefSource, now: number): void {
 		const before = this.#directory;
 		this.#directory = before.apply(changes, now);
 		this.#announce(before, changes, source);
@@ -85,10 +85,10 @@
 	offerAllEndpoints(changes: readonly EndpointChange[], era: number, now: number): number {
 		const before = this.#directory;
 		const ids = new Set(changes.flatMap(change => change.type === 'registered' ? [change.record.id] : []));
-		this.#directory = before.apply(changes, now).retain(ids, era, now);
+		this.#directory = before.apply(changes, now).applySnapshot(ids, era, now);
 		this.#announce(before, [...changes, ...ended(before, this.#directory)], 'store');
 		this.#tellEra(before, 'store', now);
-		return this.#directory.onTrust(now).length;
+		return this.#directory.unconfirmed(now).length;
 	}
 
 	prune(now: number): void {
@@ -121,7 +121,7 @@
 			return;
 		}
 
-		const onTrust = this.#directory.onTrust(now).map(({record}) => record.id);
+		const onTrust = this.#directory.unconfirmed(now).map(({record}) => record.id);
 		this.#logger.info('Endpoints of a newer era.', {era, before: before.era, source, onTrust: onTrust.length, endpoints: onTrust.slice(0, mostNamed)});
 		this.#tell({type: 'era', era}, source);
 	}
@@ -129,13 +129,13 @@
 	#isReborn(before: EndpointDirectory, id: string): boolean {
 		const held = before.entries.get(id);
 		const next = this.#directory.entries.get(id);
-		return held !== undefined && next !== undefined && isYounger(next.record, held.record);
+		return held !== undefined && next !== undefined && isLaterIncarnation(next.record, held.record);
 	}
 
 	#isNews(before: EndpointDirectory, change: EndpointChange): boolean {
 		const held = before.entries.get(idOf(change));
 		const next = this.#directory.entries.get(idOf(change));
-		return next !== undefined && (held === undefined || (held.endedAt === undefined) !== (next.endedAt === undefined) || isYounger(next.record, held.record) || isNamedAgain(held, next));
+		return next !== undefined && (held === undefined || (held.endedAt === undefined) !== (next.endedAt === undefined) || isLaterIncarnation(next.record, held.record) || isNamedAgain(held, next));
 	}
 
 	#tell(change: BeliefChange, source: BeliefSource): void {
@@ -153,10 +153,10 @@
 function ended(before: EndpointDirectory, after: EndpointDirectory): EndpointChange[] {
 	return [...after.entries.values()]
 		.filter(({record, endedAt}) => endedAt !== undefined && before.entries.get(record.id)?.endedAt === undefined)
-		.map(({record, registrations}) => ({type: 'removed', ...placeOf(registrations), id: record.id}));
+		.map(({record, registrations}) => ({type: 'removed', ...positionOf(registrations), id: record.id}));
 }
 
 /** True if it is registered in a newer era than before. */
 function isNamedAgain(held: EndpointEntry, next: EndpointEntry): boolean {
-	return placeOf(next.registrations).era > placeOf(held.registrations).era;
+	return positionOf(next.registrations).era > positionOf(held.registrations).era;
 }
--- a/src/gateway/table-pull.ts
+++ b/src/gateway/routing-table-puller.ts
@@ -1,7 +1,7 @@
 import {type PartLogger} from '../telemetry/index.js';
 
 /** A peer that has a routing table in force. */
-export type TableHolder = {readonly instance: string; readonly version: number; readonly ask: () => void};
+export type TableHolder = {readonly instance: string; readonly version: number; readonly requestTable: () => void};
 
 export type TablePullOptions = {
 	/** The version in force here. */
@@ -10,7 +10,7 @@
 	readonly holders: () => readonly TableHolder[];
 	readonly logger: PartLogger;
 	/** A peer has read from the store for long what this instance has not. */
-	readonly onBehind: () => void;
+	readonly onStaleTable: () => void;
 };
 
 /**
@@ -22,9 +22,9 @@
 const pullMilliseconds = {withoutTable: 100, behind: 400, spread: 200};
 
 /** Asks peers for a newer routing table than the one in force, where the store has not brought it in time. */
-export class TablePull implements Disposable {
-	static create(options: TablePullOptions): TablePull {
-		return new TablePull(options);
+export class RoutingTablePuller implements Disposable {
+	static create(options: TablePullOptions): RoutingTablePuller {
+		return new RoutingTablePuller(options);
 	}
 
 	readonly #options: TablePullOptions;
@@ -39,7 +39,7 @@
 	}
 
 	/** A peer told of a version; asks later if it is still newer then, and again as long as it is not here. */
-	heard(): void {
+	handlePeerVersion(): void {
 		if (this.#timer !== undefined || this.#newer().length === 0) {
 			return;
 		}
@@ -59,9 +59,9 @@
 		}
 
 		this.#options.logger.info('Asking a peer for its routing table.', {peer: asked.instance, version: asked.version, before: this.#options.ownVersion()});
-		asked.ask();
-		this.#options.onBehind();
-		this.heard();
+		asked.requestTable();
+		this.#options.onStaleTable();
+		this.handlePeerVersion();
 	}
 
 	#newer(): TableHolder[] {
--- a/src/gateway/store-feeds.ts
+++ b/src/gateway/store-feeds.ts
@@ -1,7 +1,7 @@
-import {endpointPause, type FleetView, instancePause, routingWait} from '../policy/sharing/index.js';
+import {endpointPollInterval, type FleetView, instancePollInterval, routingLongPollWait} from '../policy/sharing/index.js';
 import {type EndpointChange, type RoutingTableInput} from '../routing/index.js';
 import {type PartLogger} from '../telemetry/index.js';
-import {type Beliefs} from './beliefs.js';
+import {type RoutingState} from './routing-state.js';
 import {type EraChange, FeedFollower} from './feed-follower.js';
 import {type PeerRecord} from './peer-roster.js';
 import {type Feed} from './types.js';
@@ -17,15 +17,15 @@
 };
 
 /** Who is told of announcements, and knows how many instances tell each other what they read. */
-export type Announced = {
+export type PeerRegistry = {
 	readonly view: FleetView;
-	know(records: readonly PeerRecord[], isWhole: boolean): void;
-	forget(instance: string): void;
+	addPeers(records: readonly PeerRecord[], isWhole: boolean): void;
+	removePeer(instance: string): void;
 };
 
 export type FollowOptions = {
-	readonly beliefs: Beliefs;
-	readonly peers: Announced;
+	readonly routingState: RoutingState;
+	readonly peers: PeerRegistry;
 	/** An endpoint that says it leaves goes on serving for so long. */
 	readonly drainMilliseconds: number;
 	/** What the operator changes is to be in force within this. */
@@ -37,25 +37,25 @@
 };
 
 /** The followers of the store's feeds. */
-export type FollowedFeeds = AsyncDisposable & {readonly endpoints: FeedFollower<EndpointChange>; readonly routing: FeedFollower<RoutingTableInput>};
+export type FeedFollowers = AsyncDisposable & {readonly endpoints: FeedFollower<EndpointChange>; readonly routing: FeedFollower<RoutingTableInput>};
 
 /** Follows all that the store tells, into the beliefs and to the peers. */
-export function followFeeds(store: StoreFeeds, {beliefs, peers, drainMilliseconds, applyMilliseconds, logger, random, onEra}: FollowOptions): FollowedFeeds {
+export function followFeeds(store: StoreFeeds, {routingState: beliefs, peers, drainMilliseconds, applyMilliseconds, logger, random, onEra}: FollowOptions): FeedFollowers {
 	const others = (): number => peers.view.instances - 1;
 	const common = {
 		logger, random, others, onEra, applyMilliseconds,
 		onFailed() {
-			routing.doubt();
+			routing.abortLongPoll();
 		},
 	};
 	const offerTables = (tables: readonly RoutingTableInput[]): void => {
 		for (const table of tables) {
-			beliefs.offerTable(table, 'store');
+			beliefs.applyTable(table, 'store');
 		}
 	};
 
 	const routing: FeedFollower<RoutingTableInput> = FeedFollower.start({
-		...common, feed: store.routing, waitMilliseconds: reading => routingWait(reading, random()), pauseMilliseconds: () => 0,
+		...common, feed: store.routing, waitMilliseconds: reading => routingLongPollWait(reading, random()), pauseMilliseconds: () => 0,
 		onChanges: offerTables,
 		onWhole(tables) {
 			offerTables(tables);
@@ -63,20 +63,20 @@
 		},
 	});
 	const endpoints = FeedFollower.start({
-		...common, feed: store.endpoints, waitMilliseconds: () => 0, pauseMilliseconds: pause => endpointPause({others: others(), drainMilliseconds}, pause),
+		...common, feed: store.endpoints, waitMilliseconds: () => 0, pauseMilliseconds: pause => endpointPollInterval({others: others(), drainMilliseconds}, pause),
 		onChanges(changes) {
-			beliefs.offerEndpoints(changes, 'store', performance.now());
+			beliefs.applyEndpointChanges(changes, 'store', performance.now());
 		},
 		onWhole: (changes, era) => beliefs.offerAllEndpoints(changes, era, performance.now()),
 	});
 	const instances = FeedFollower.start({
-		...common, feed: store.instances, waitMilliseconds: () => 0, pauseMilliseconds: instancePause,
+		...common, feed: store.instances, waitMilliseconds: () => 0, pauseMilliseconds: instancePollInterval,
 		onChanges(announcements) {
 			takeAnnouncements(peers, announcements);
 		},
 		// Nobody is forgotten because the store doesn't name it: it may have come back from a copy, and who is gone answers no dial.
 		onWhole(announcements) {
-			peers.know(announcements.flatMap(({record}) => record ?? []), true);
+			peers.addPeers(announcements.flatMap(({record}) => record ?? []), true);
 			return 0;
 		},
 	});
@@ -94,12 +94,12 @@
 	};
 }
 
-function takeAnnouncements(peers: Announced, announcements: readonly InstanceAnnouncement[]): void {
+function takeAnnouncements(peers: PeerRegistry, announcements: readonly InstanceAnnouncement[]): void {
 	for (const {instance, record} of announcements) {
 		if (record === undefined) {
-			peers.forget(instance);
+			peers.removePeer(instance);
 		} else {
-			peers.know([record], false);
+			peers.addPeers([record], false);
 		}
 	}
 }
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -7,7 +7,7 @@
 export type RawHeaders = readonly string[];
 
 /** What a caller says about its request. */
-export type RequestFacts = {
+export type RequestMetadata = {
 	/** The caller's id of this one sending. */
 	readonly id: string;
 	/** How long the caller waits, from its sending. */
@@ -20,13 +20,13 @@
 };
 
 /** A request on its way to an endpoint. */
-export type Forwarding = {
+export type ForwardedRequest = {
 	readonly rawHeaders: RawHeaders;
 	readonly bodyBytes: number | undefined;
 	readonly endpoint: string;
 	readonly workspace: Workspace | undefined;
 	/** What is left of the caller's time and the route's. */
-	readonly milliseconds: number;
+	readonly remainingMilliseconds: number;
 	/** The last event that the caller has, when a stream goes on elsewhere. */
 	readonly resumeAfter: string | undefined;
 	/** The address of an engine that keeps more of the prompt, from which the endpoint is to take it. */
@@ -40,12 +40,12 @@
 };
 
 /** What an endpoint says about its answer. */
-export type AnswerFacts = {
+export type ResponseMetadata = {
 	readonly requestId: string | undefined;
 	/** The endpoint states that it did not run the request. */
 	readonly isNotRun: boolean;
 	/** Another endpoint has the address now. */
-	readonly isOtherEndpoint: boolean;
+	readonly isMisdirected: boolean;
 	/** False for a success that can't be the endpoint's own whole answer. */
 	readonly isGenuine: boolean;
 	/** Statuses that promise the caller that its request has not run. */
@@ -56,15 +56,15 @@
 /** What the adapter of a platform translates for each request. */
 export type RequestCodec = {
 	/** The facts, or what is wrong with the headers. */
-	readRequest(headers: IncomingHttpHeaders): {readonly type: 'facts'; readonly facts: RequestFacts} | {readonly type: 'wrong'; readonly message: string};
-	forward(forwarding: Forwarding): string[];
-	readAnswer(status: number, headers: IncomingHttpHeaders): AnswerFacts;
+	readRequest(headers: IncomingHttpHeaders): {readonly type: 'facts'; readonly facts: RequestMetadata} | {readonly type: 'wrong'; readonly message: string};
+	requestHeaders(forwarding: ForwardedRequest): string[];
+	readResponse(status: number, headers: IncomingHttpHeaders): ResponseMetadata;
 	/** The headers that go back to the caller. */
-	answer(rawHeaders: RawHeaders): string[];
+	responseHeaders(rawHeaders: RawHeaders): string[];
 	/** How long callers of a route wait for a first byte or event before they leave. */
 	patienceMilliseconds(route: Route): number;
 	/** The headers of an answer of our own. */
-	ownAnswer(facts: RequestFacts | undefined): string[];
+	gatewayResponseHeaders(facts: RequestMetadata | undefined): string[];
 };
 
 /** A page of a feed: what is new, and where to go on. */
@@ -84,7 +84,7 @@
 export type Feed<Item> = {
 	readonly name: string;
 	/** Every key's newest value, and the place from which changes go on. */
-	readNewest(): Promise<FeedPage<Item>>;
+	readSnapshot(): Promise<FeedPage<Item>>;
 	/** Changes from a place on; waits for the first one, unless it is given up. */
 	readChanges(from: LogPosition, waitMilliseconds: number, signal?: AbortSignal): Promise<FeedReading<Item>>;
 	/** Calls at the first answer of any call that comes from a newer era. */
--- a/src/platform/quarantine-ledger.ts
+++ b/src/platform/quarantine-ledger.ts
@@ -1,7 +1,7 @@
 import {channel, receive, receiveWithin, spawn, tryDeliver, wait, type Body, type Channel} from '../concurrency/index.js';
 import {
-	createQuarantine, createRelease, foldQuarantine, judgeFingerprint, listQuarantined, pruneQuarantine, quarantineRecordSchema, Suspicion,
-	type Judgement, type Quarantine, type QuarantineRecord,
+	createQuarantine, createReleasedRecord, foldQuarantine, evaluateFingerprint, listQuarantined, pruneQuarantine, quarantineRecordSchema, Suspicion,
+	type FingerprintStatus, type Quarantine, type QuarantineRecord,
 } from '../policy/quarantine/index.js';
 import {type LogClient} from './types.js';
 
@@ -52,8 +52,8 @@
 	}
 
 	/** What is held against a fingerprint now. */
-	judge(fingerprint: string): Judgement {
-		return judgeFingerprint(this.#state, fingerprint, this.#now());
+	judge(fingerprint: string): FingerprintStatus {
+		return evaluateFingerprint(this.#state, fingerprint, this.#now());
 	}
 
 	/** Everything that is known. */
@@ -72,7 +72,7 @@
 			return false;
 		}
 
-		this.note(createRelease(this.#state, fingerprint, operator, this.#now()));
+		this.note(createReleasedRecord(this.#state, fingerprint, operator, this.#now()));
 		return true;
 	}
 
--- a/src/policy/assignment/index.ts
+++ b/src/policy/assignment/index.ts
@@ -17,14 +17,14 @@
 export type ModelDemand = {readonly name: TargetName; readonly replicas: number};
 
 /** An engine as the membership list shows it. */
-export type EngineSite = {
+export type EngineMember = {
 	readonly endpoint: EndpointId;
 	readonly zone: ZoneName;
 	readonly models: readonly TargetName[];
 	readonly leaving: boolean;
 };
 
-type SeenSite = {readonly site: EngineSite; readonly seenAt: number};
+type SeenSite = {readonly site: EngineMember; readonly seenAt: number};
 
 /** What has been seen of the membership list. */
 export type Assignment = {readonly sites: ReadonlyMap<EndpointId, SeenSite>};
@@ -41,7 +41,7 @@
 }
 
 /** Takes a reading of the membership list. */
-export function seeSites(state: Assignment, list: readonly EngineSite[], now: number): Assignment {
+export function observeMembers(state: Assignment, list: readonly EngineMember[], now: number): Assignment {
 	const kept = [...state.sites].filter(([, {seenAt}]) => now - seenAt < absenceMilliseconds);
 	return {sites: new Map([...kept, ...list.map(site => [site.endpoint, {site, seenAt: now}] as const)])};
 }
@@ -51,22 +51,22 @@
  * Missing replicas go to the availability zone with the fewest, there to the endpoint with the
  * fewest models, and between equals by rendezvous.
  */
-export function sitesOfModel(state: Assignment, demand: ModelDemand): readonly EndpointId[] {
+export function endpointsForModel(state: Assignment, demand: ModelDemand): readonly EndpointId[] {
 	const sites = new Map([...state.sites.values()].filter(({site}) => !site.leaving).map(({site}) => [site.endpoint, site]));
 	const ranked = rankByRendezvous(demand.name, sites.keys()).map(endpoint => sites.get(endpoint)!);
 	const holders = ranked.filter(site => site.models.includes(demand.name));
-	const chosen: EngineSite[] = pickSpread(holders, demand.replicas, []);
+	const chosen: EngineMember[] = pickSpread(holders, demand.replicas, []);
 	const others = ranked.filter(site => !site.models.includes(demand.name)).toSorted((left, right) => left.models.length - right.models.length);
 	return pickSpread(others, demand.replicas - chosen.length, chosen).map(({endpoint}) => endpoint);
 }
 
 /** The models that one endpoint should have. */
-export function modelsOfSite(state: Assignment, demands: readonly ModelDemand[], endpoint: EndpointId): readonly TargetName[] {
-	return demands.filter(demand => sitesOfModel(state, demand).includes(endpoint)).map(({name}) => name);
+export function modelsForEndpoint(state: Assignment, demands: readonly ModelDemand[], endpoint: EndpointId): readonly TargetName[] {
+	return demands.filter(demand => endpointsForModel(state, demand).includes(endpoint)).map(({name}) => name);
 }
 
 /** Adds up to `count` candidates to those chosen, each from the availability zone that has the fewest by then. */
-function pickSpread(candidates: readonly EngineSite[], count: number, chosen: readonly EngineSite[]): EngineSite[] {
+function pickSpread(candidates: readonly EngineMember[], count: number, chosen: readonly EngineMember[]): EngineMember[] {
 	const picked = [...chosen];
 	const left = [...candidates];
 	for (let added = 0; added < count && left.length > 0; added++) {
@@ -78,6 +78,6 @@
 	return picked;
 }
 
-function countZone(sites: readonly EngineSite[], zone: ZoneName): number {
+function countZone(sites: readonly EngineMember[], zone: ZoneName): number {
 	return sites.filter(site => site.zone === zone).length;
 }
--- a/src/policy/claims/answers.ts
+++ b/src/policy/claims/answers.ts
@@ -9,23 +9,23 @@
 export const largestAnswersBytes = 32 * 1024 * 1024;
 
 /** A whole answer, as it went to the first caller. */
-export type KeptAnswer = {
+export type CachedResponse = {
 	readonly status: number;
 	readonly headers: Readonly<Record<string, string>>;
 	readonly body: Uint8Array;
 };
 
-type Stored = {readonly answer: KeptAnswer; readonly at: number};
+type Stored = {readonly answer: CachedResponse; readonly at: number};
 
 /** Answers by claim, the oldest first. */
-export type KeptAnswers = {readonly stored: ReadonlyMap<string, Stored>; readonly bytes: number};
+export type ResponseCache = {readonly stored: ReadonlyMap<string, Stored>; readonly bytes: number};
 
-export function createAnswers(): KeptAnswers {
+export function createResponseCache(): ResponseCache {
 	return {stored: new Map(), bytes: 0};
 }
 
 /** Keeps an answer, and lets go of the oldest and of those past their time. */
-export function keepAnswer(state: KeptAnswers, claim: string, answer: KeptAnswer, now: number): KeptAnswers {
+export function cacheResponse(state: ResponseCache, claim: string, answer: CachedResponse, now: number): ResponseCache {
 	const stored = new Map(state.stored);
 	let bytes = state.bytes + answer.body.byteLength - (stored.get(claim)?.answer.body.byteLength ?? 0);
 	stored.delete(claim);
@@ -42,7 +42,7 @@
 	return {stored, bytes};
 }
 
-export function findAnswer(state: KeptAnswers, claim: string, now: number): KeptAnswer | undefined {
+export function findResponse(state: ResponseCache, claim: string, now: number): CachedResponse | undefined {
 	const stored = state.stored.get(claim);
 	return stored && now - stored.at < answerLifetimeMilliseconds ? stored.answer : undefined;
 }
--- a/src/policy/claims/fold.ts
+++ b/src/policy/claims/fold.ts
@@ -138,7 +138,7 @@
  * Goes on after retention dropped records that were not read. What is known stays: it can only hold
  * keys that are free by now, never free a key that is held.
  */
-export function skipTo(state: Claims, first: number): Claims {
+export function skipToOffset(state: Claims, first: number): Claims {
 	return {...state, next: Math.max(state.next, first)};
 }
 
--- a/src/policy/claims/key.ts
+++ b/src/policy/claims/key.ts
@@ -46,6 +46,6 @@
 }
 
 /** The refusal of a key outside its window: nothing ran, and nothing will. */
-export function keyExpired(): Failure {
+export function createKeyExpiredFailure(): Failure {
 	return createFailure(FailureKind.keyExpired, `The Idempotency-Key was made more than ${keyWindowMilliseconds / 60_000} minutes ago or lies in the future.`);
 }
--- a/src/policy/dispatch/contention.ts
+++ b/src/policy/dispatch/contention.ts
@@ -12,14 +12,14 @@
 	/** Requests of other instances that are taken to want the same place. */
 	readonly contenders: number;
 	/** How often each of them is looked at. */
-	readonly lookMilliseconds: number;
+	readonly searchIntervalMilliseconds: number;
 	/** How long the endpoint will read this one. */
-	readonly readingMilliseconds: number;
-	readonly reactionMilliseconds: number;
+	readonly prefillMilliseconds: number;
+	readonly propagationMilliseconds: number;
 };
 
 /** The chance with which a request that found a place takes it now. */
-export function chanceOfPlace({contenders, lookMilliseconds, readingMilliseconds, reactionMilliseconds}: Contention): number {
-	const readInReaction = reactionMilliseconds * (1 + reactionsInBacklog) / Math.max(readingMilliseconds, 1);
-	return Math.min(1, chanceFactor * readInReaction * lookMilliseconds / reactionMilliseconds / Math.max(contenders, Number.EPSILON));
+export function sendProbability({contenders, searchIntervalMilliseconds: lookMilliseconds, prefillMilliseconds: readingMilliseconds, propagationMilliseconds}: Contention): number {
+	const readInReaction = propagationMilliseconds * (1 + reactionsInBacklog) / Math.max(readingMilliseconds, 1);
+	return Math.min(1, chanceFactor * readInReaction * lookMilliseconds / propagationMilliseconds / Math.max(contenders, Number.EPSILON));
 }
--- a/src/policy/dispatch/demand.ts
+++ b/src/policy/dispatch/demand.ts
@@ -1,6 +1,6 @@
 import {type ZoneName} from '../../model/index.js';
 import {type FleetView} from '../sharing/index.js';
-import {type PromptPart} from './part-memory.js';
+import {type PromptPart} from './prefix-cache.js';
 import {type Tuning} from './tuning.js';
 
 /** What one request wants of an endpoint. */
@@ -12,11 +12,11 @@
 	readonly urgencies: {readonly most: number; readonly least: number};
 	readonly targetMilliseconds: number;
 	readonly parts: readonly PromptPart[];
-	readonly isTight: boolean;
+	readonly isLatencyCritical: boolean;
 	/** The pause that must not be exceeded, where there is one. */
-	readonly pauseMilliseconds: number | undefined;
+	readonly maxPauseMilliseconds: number | undefined;
 	/** The shortest pause that any stream of the service must keep. */
-	readonly tightestPauseMilliseconds: number;
+	readonly strictestPauseMilliseconds: number;
 	/** How long it has passed over free endpoints for a better one. */
 	readonly waitedMilliseconds: number;
 	/** Since the request arrived. */
@@ -43,12 +43,12 @@
 	readonly type: 'place';
 	readonly endpoint: string;
 	/** What it has to read, beside what it fetches. */
-	readonly unreadTokens: number;
+	readonly prefillTokens: number;
 	readonly fetch: Fetch | undefined;
 	/** From sending to the first event, or to the answer. */
 	readonly expectedMilliseconds: number;
 	/** What the endpoint that holds most of the prompt would have had to read. */
-	readonly leastUnreadTokens: number;
+	readonly leastPrefillTokens: number;
 };
 
 /** None is good enough yet; the best is in about so long. */
@@ -57,19 +57,19 @@
 	readonly endpoint: string;
 	readonly milliseconds: number;
 	/** True if one is free, but a better one is worth waiting for: others may take the free one. */
-	readonly isForBetter: boolean;
+	readonly isDeferral: boolean;
 };
 
 export type Choice = Place | Wait;
 
 /** When and from where a choice is made. */
-export type Circumstances = {
+export type PlacementContext = {
 	readonly zone: ZoneName;
 	readonly now: number;
 	/** How much of the fleet this instance hears of. */
 	readonly view: FleetView;
 	/** Until this instance hears what a neighbour has sent somewhere. */
-	readonly reactionMilliseconds: number;
+	readonly propagationMilliseconds: number;
 	/** At which pace engines pass kept prompts to each other; absent where they don't. */
 	readonly fetchTokensPerMillisecond?: number | undefined;
 	readonly tuning: Tuning;
--- a/src/policy/dispatch/engine-cost.ts
+++ b/src/policy/dispatch/engine-cost.ts
@@ -2,9 +2,9 @@
  * What one engine costs one request, in milliseconds: what the caller waits for its first event, what the
  * reading costs the service, and what it does to streams with tight pauses.
  */
-import {type Candidate, type Circumstances, type Demand, type Fetch} from './demand.js';
-import {type EndpointLoad, type LoadBook} from './load.js';
-import {readMilliseconds} from './speed.js';
+import {type Candidate, type PlacementContext, type Demand, type Fetch} from './demand.js';
+import {type EndpointLoad, type LoadTracker} from './load.js';
+import {prefillMilliseconds} from './speed.js';
 import {chooseFetch, type Holder, isWorthFetching} from './transfer.js';
 
 /**
@@ -54,7 +54,7 @@
 const fetchWeight = 5;
 
 /** What a candidate costs, and how long until it may get the request. */
-export type Judged = {readonly cost: number; readonly wait: number; readonly unreadTokens: number; readonly fetch: Fetch | undefined; readonly expected: number};
+export type Judged = {readonly cost: number; readonly wait: number; readonly prefillTokens: number; readonly fetch: Fetch | undefined; readonly expected: number};
 
 /** What all candidates together show; counted once for a choice. */
 export type Overview = {
@@ -80,28 +80,28 @@
 	/** True if it is the first home of the prompt's beginning. */
 	readonly isHome: boolean;
 	readonly overview: Overview;
-	readonly circumstances: Circumstances;
+	readonly circumstances: PlacementContext;
 };
 
-export function judgeEngine(book: LoadBook, demand: Demand, candidate: Candidate, {load, place, isHome, overview, circumstances}: Engine): Judged {
+export function judgeEngine(book: LoadTracker, demand: Demand, candidate: Candidate, {load, place, isHome, overview, circumstances}: Engine): Judged {
 	const {fetchTokensPerMillisecond, tuning} = circumstances;
 	const speed = book.speed(demand.service);
 	const heardTokens = book.unread(candidate.id, demand.parts);
 	const lackedTokens = isHome ? keptAtHome(demand, heardTokens, overview.seen) : heardTokens;
 	const fetch = fetchTokensPerMillisecond === undefined || !isWorthFetching(demand.parts, lackedTokens, speed)
 		? undefined
-		: chooseFetch(overview.holders(), candidate, {unreadTokens: lackedTokens, speed, tokensPerMillisecond: fetchTokensPerMillisecond});
-	const unreadTokens = lackedTokens - (fetch?.tokens ?? 0);
-	const reading = readMilliseconds(speed, unreadTokens);
+		: chooseFetch(overview.holders(), candidate, {prefillTokens: lackedTokens, speed, tokensPerMillisecond: fetchTokensPerMillisecond});
+	const prefillTokens = lackedTokens - (fetch?.tokens ?? 0);
+	const reading = prefillMilliseconds(speed, prefillTokens);
 	const expected = load.backlogMilliseconds + (fetch?.milliseconds ?? 0) + reading + speed.baseMilliseconds;
-	const slots = usableSlots(candidate, demand) + (demand.isTight ? slotsAbove : 0);
+	const slots = usableSlots(candidate, demand) + (demand.isLatencyCritical ? slotsAbove : 0);
 	const span = load.backlogMilliseconds + reading;
 	const wait = load.running >= slots ? speed.baseMilliseconds : waitFor(demand, load, circumstances);
-	const harm = demand.isTight ? tightCost(demand, candidate, {load, place, span, overview, tuning}) : harmToOthers(demand, {load, place, span, reading, overview, tuning});
-	const fetching = fetch === undefined ? 0 : fetch.milliseconds + (readMilliseconds(speed, fetch.tokens) * tuning.fetchShare * fetchWeight);
+	const harm = demand.isLatencyCritical ? tightCost(demand, candidate, {load, place, span, overview, tuning}) : harmToOthers(demand, {load, place, span, reading, overview, tuning});
+	const fetching = fetch === undefined ? 0 : fetch.milliseconds + (prefillMilliseconds(speed, fetch.tokens) * tuning.fetchShare * fetchWeight);
 	const cost = load.backlogMilliseconds + (reading * overview.readingWeight) + fetching + lateness(wait + expected, demand) + harm
 		+ (load.running / candidate.slots * speed.baseMilliseconds);
-	return {cost, wait, unreadTokens, fetch, expected};
+	return {cost, wait, prefillTokens, fetch, expected};
 }
 
 /**
@@ -119,22 +119,22 @@
 }
 
 /** How long until a request may be sent there. */
-function waitFor(demand: Demand, {backlogMilliseconds, idleMilliseconds, tightRuns}: EndpointLoad, circumstances: Circumstances): number {
+function waitFor(demand: Demand, {backlogMilliseconds, idleMilliseconds, latencyCriticalRuns}: EndpointLoad, circumstances: PlacementContext): number {
 	return demand.isOutranked
-		? Math.max(0, backlogMilliseconds + (circumstances.reactionMilliseconds * outrankedReactions) - idleMilliseconds)
-		: Math.max(0, backlogMilliseconds - bearableBacklog(demand, tightRuns, circumstances));
+		? Math.max(0, backlogMilliseconds + (circumstances.propagationMilliseconds * outrankedReactions) - idleMilliseconds)
+		: Math.max(0, backlogMilliseconds - bearableBacklog(demand, latencyCriticalRuns, circumstances));
 }
 
-function bearableBacklog({urgency, urgencies, tightestPauseMilliseconds, isTight}: Demand, tightRuns: number, {reactionMilliseconds, tuning}: Circumstances): number {
-	if (isTight) {
+function bearableBacklog({urgency, urgencies, strictestPauseMilliseconds: tightestPauseMilliseconds, isLatencyCritical}: Demand, latencyCriticalRuns: number, {propagationMilliseconds, tuning}: PlacementContext): number {
+	if (isLatencyCritical) {
 		return Infinity;
 	}
 
-	const leastUrgent = reactionMilliseconds * reactionsInBacklog;
+	const leastUrgent = propagationMilliseconds * reactionsInBacklog;
 	const rank = tuning.ordersBacklogs ? rankAmong(urgency, urgencies) : 0;
 	const mostUrgent = leastUrgent * urgentFactor;
 	const own = mostUrgent * ((leastUrgent / mostUrgent) ** rank);
-	return tightRuns === 0 ? own : Math.min(own, tightestPauseMilliseconds * besideTightShare);
+	return latencyCriticalRuns === 0 ? own : Math.min(own, tightestPauseMilliseconds * besideTightShare);
 }
 
 /** 0 for the most urgent, 1 for the least. */
@@ -142,10 +142,10 @@
 	return least === most ? 1 : Math.min(1, Math.max(0, (urgency - most) / (least - most)));
 }
 
-type Harm = {readonly load: EndpointLoad; readonly place: number; readonly span: number; readonly overview: Overview; readonly tuning: Circumstances['tuning']};
+type Harm = {readonly load: EndpointLoad; readonly place: number; readonly span: number; readonly overview: Overview; readonly tuning: PlacementContext['tuning']};
 
 function tightCost(demand: Demand, candidate: Candidate, {load, place, span, overview, tuning}: Harm): number {
-	const pause = (demand.pauseMilliseconds ?? Infinity) * pauseShare;
+	const pause = (demand.maxPauseMilliseconds ?? Infinity) * pauseShare;
 	const crowded = load.running >= candidate.slots * crowdedFill ? demand.targetMilliseconds : 0;
 	const outside = place >= Math.max(1, overview.spread) ? tuning.outsideMilliseconds : 0;
 	return (orderOf(place, overview) * orderMilliseconds) + (load.readingShare * readingShareMilliseconds) + crowded + outside + (Math.max(0, span - pause) * brokenPauseWeight);
@@ -160,8 +160,8 @@
 }
 
 /** What a reading does to the streams that run there: all of it delays them a little, a long one breaks their pauses. */
-function harmToOthers({tightestPauseMilliseconds}: Demand, {load, place, span, reading, overview, tuning}: Harm & {reading: number}): number {
-	const delays = Math.min(load.tightRuns, tightCounted) * reading * tightWeight;
+function harmToOthers({strictestPauseMilliseconds: tightestPauseMilliseconds}: Demand, {load, place, span, reading, overview, tuning}: Harm & {reading: number}): number {
+	const delays = Math.min(load.latencyCriticalRuns, tightCounted) * reading * tightWeight;
 	const takesRoom = place < overview.takenByTight && span > tightestPauseMilliseconds * besideTightShare;
 	return delays + (takesRoom ? tuning.roomMilliseconds : 0);
 }
--- a/src/policy/dispatch/patience.ts
+++ b/src/policy/dispatch/failover.ts
@@ -20,7 +20,7 @@
 };
 
 /** When a silent endpoint is left for another one, on the clock of `sentAt`. */
-export function leaveAt({sentAt, lastEventAt, targetMilliseconds, longestPauseMilliseconds, expectedMilliseconds}: Silence): number {
+export function failoverAt({sentAt, lastEventAt, targetMilliseconds, longestPauseMilliseconds, expectedMilliseconds}: Silence): number {
 	return lastEventAt === undefined
 		? sentAt + Math.max(targetMilliseconds * firstEvent.targets, expectedMilliseconds * firstEvent.predictions)
 		: lastEventAt + ((longestPauseMilliseconds ?? targetMilliseconds) * patiencePauses);
--- a/src/policy/dispatch/forecast.ts
+++ b/src/policy/dispatch/forecast.ts
@@ -24,15 +24,15 @@
 	readonly instances: number;
 	readonly tokensPerMillisecond: number;
 	/** The part of their prompts that engines still have to read. */
-	readonly unreadShare: number;
+	readonly prefillShare: number;
 	/** Work that this instance has placed lately, for each millisecond. */
 	readonly startedWorkRate: number;
 	/** How long a plain service works on a request. */
-	readonly workMilliseconds: number;
+	readonly serviceTimeMilliseconds: number;
 };
 
 /** How long those ahead will take to have their places. Before anything waited the own rate says nothing. */
-export function lineMilliseconds({count, work}: Ahead, {candidates, instances, tokensPerMillisecond, unreadShare, startedWorkRate, workMilliseconds}: Capacity): number {
+export function expectedQueueMilliseconds({count, work}: Ahead, {candidates, instances, tokensPerMillisecond, prefillShare: unreadShare, startedWorkRate, serviceTimeMilliseconds: workMilliseconds}: Capacity): number {
 	if (candidates[0]?.isEngine === true) {
 		const equalPart = tokensPerMillisecond / unreadShare * candidates.length / instances;
 		return work / Math.max(equalPart, startedWorkRate);
@@ -49,9 +49,9 @@
 }
 
 /** The part of their prompts that a service's engines had to read, of the last ones placed. */
-export class UnreadShares {
-	static create(): UnreadShares {
-		return new UnreadShares();
+export class PrefillShares {
+	static create(): PrefillShares {
+		return new PrefillShares();
 	}
 
 	readonly #shares = new Map<string, number>();
@@ -60,7 +60,7 @@
 		return this.#shares.get(service) ?? firstUnreadShare;
 	}
 
-	note(service: string, share: number): void {
+	record(service: string, share: number): void {
 		const before = this.of(service);
 		this.#shares.set(service, before + ((share - before) * unreadShareWeight));
 	}
--- a/src/policy/dispatch/load-rows.ts
+++ b/src/policy/dispatch/load-rows.ts
@@ -1,6 +1,6 @@
 import {type LoadEvent} from './load.js';
-import {flattenParts, unflattenParts} from './part-memory.js';
-import {type UrgencyCount} from './peer-lines.js';
+import {flattenParts, unflattenParts} from './prefix-cache.js';
+import {type UrgencyCount} from './peer-queues.js';
 
 /** Longer names than this come from nobody that keeps the protocol. */
 const longestName = 256;
@@ -16,13 +16,13 @@
 const wayMilliseconds = 5;
 
 /** How long load is collected before it goes to so many peers. */
-export function tellingInterval(peers: number): number {
+export function batchIntervalMilliseconds(peers: number): number {
 	return Math.min(batchMilliseconds.most, Math.max(batchMilliseconds.least, peers * batchMilliseconds.eachPeer));
 }
 
 /** Until one instance hears what another has placed, at the longest. */
-export function reactionMilliseconds(peers: number): number {
-	return tellingInterval(peers) + wayMilliseconds;
+export function propagationMilliseconds(peers: number): number {
+	return batchIntervalMilliseconds(peers) + wayMilliseconds;
 }
 
 const RowKind = {placed: 0, firstEvent: 1, ended: 2, waiting: 3} as const;
@@ -46,8 +46,8 @@
 function encodeEvent(event: LoadEvent): LoadRow | undefined {
 	switch (event.type) {
 		case 'placed': {
-			const {id, endpoint, service, unreadTokens, isTight, parts} = event.run;
-			return [RowKind.placed, numberOf(id), endpoint, service, unreadTokens, isTight ? 1 : 0, ...flattenParts(parts)];
+			const {id, endpoint, service, prefillTokens, isLatencyCritical, parts} = event.run;
+			return [RowKind.placed, numberOf(id), endpoint, service, prefillTokens, isLatencyCritical ? 1 : 0, ...flattenParts(parts)];
 		}
 
 		case 'first-event': {
@@ -116,12 +116,12 @@
 }
 
 function decodePlaced(row: readonly unknown[], {id, owner}: {id: string; owner: string}): LoadEvent | undefined {
-	const [endpoint, service, unreadTokens, tight, ...partValues] = row.slice(2);
-	if (!isName(endpoint) || !isName(service) || !isCount(unreadTokens) || partValues.length % 2 !== 0 || partValues.length > mostParts * 2 || !partValues.every(value => isCount(value))) {
+	const [endpoint, service, prefillTokens, tight, ...partValues] = row.slice(2);
+	if (!isName(endpoint) || !isName(service) || !isCount(prefillTokens) || partValues.length % 2 !== 0 || partValues.length > mostParts * 2 || !partValues.every(value => isCount(value))) {
 		return undefined;
 	}
 
-	return {type: 'placed', run: {id, owner, endpoint, service, unreadTokens, isTight: tight === 1, parts: unflattenParts(partValues)}};
+	return {type: 'placed', run: {id, owner, endpoint, service, prefillTokens, isLatencyCritical: tight === 1, parts: unflattenParts(partValues)}};
 }
 
 function decodeWaiting(row: readonly unknown[], owner: string): LoadEvent | undefined {
--- a/src/policy/dispatch/load.ts
+++ b/src/policy/dispatch/load.ts
@@ -1,6 +1,6 @@
-import {type PromptPart, PartMemory, tokensOf} from './part-memory.js';
-import {type LineEvent, PeerLines} from './peer-lines.js';
-import {createReadingSpeed, learnReadingSpeed, type ReadingSpeed, readMilliseconds} from './speed.js';
+import {type PromptPart, PartMemory, tokensOf} from './prefix-cache.js';
+import {type QueueReport, PeerQueues} from './peer-queues.js';
+import {createReadingSpeed, learnReadingSpeed, type ReadingSpeed, prefillMilliseconds} from './speed.js';
 
 /** A request that an endpoint runs or is about to, whichever instance sent it. */
 export type Run = {
@@ -9,9 +9,9 @@
 	readonly owner: string;
 	readonly endpoint: string;
 	readonly service: string;
-	readonly unreadTokens: number;
+	readonly prefillTokens: number;
 	/** True if its pauses are the tightest of its service. */
-	readonly isTight: boolean;
+	readonly isLatencyCritical: boolean;
 	readonly parts: readonly PromptPart[];
 };
 
@@ -23,7 +23,7 @@
 		| {readonly type: 'owner-lost'; readonly owner: string}
 		| {readonly type: 'endpoint-restarted'; readonly endpoint: string}
 	/** What waits at another instance. */
-		| LineEvent
+		| QueueReport
 	/** What an endpoint itself says it holds of prompts. */
 		| {readonly type: 'kept'; readonly endpoint: string; readonly parts: readonly PromptPart[]};
 
@@ -35,7 +35,7 @@
 /** The load of one endpoint as placement sees it. */
 export type EndpointLoad = {
 	readonly running: number;
-	readonly tightRuns: number;
+	readonly latencyCriticalRuns: number;
 	/** Until what is to be read there has been read, from now, in milliseconds. */
 	readonly backlogMilliseconds: number;
 	/** For how long it has had nothing to read; zero while it has. */
@@ -62,7 +62,7 @@
 	readonly runs: Map<string, Held>;
 	/** Those without a first event, oldest first: what the engine still has to read. */
 	readonly unread: Map<string, Held>;
-	unreadTokens: number;
+	prefillTokens: number;
 	/** When the oldest of them came to its turn, as far as is known. */
 	turnAt: number;
 	/** When word came that nothing is unread any more. */
@@ -73,7 +73,7 @@
 	service: string;
 	share: number;
 	shareAt: number;
-	tightRuns: number;
+	latencyCriticalRuns: number;
 };
 
 /**
@@ -81,13 +81,13 @@
  * it arrives. Each instance tells the others of what it placed and what ended, so that all predict
  * from the same runs. Without that, a burst through four instances meets on the same idle endpoint.
  */
-export class LoadBook {
-	static create(): LoadBook {
-		return new LoadBook();
+export class LoadTracker {
+	static create(): LoadTracker {
+		return new LoadTracker();
 	}
 
 	/** What waits at the other instances. */
-	readonly lines = PeerLines.create();
+	readonly peerQueues = PeerQueues.create();
 	readonly #desks = new Map<string, Desk>();
 	readonly #runs = new Map<string, Held>();
 	readonly #speeds = new Map<string, ReadingSpeed>();
@@ -112,12 +112,12 @@
 
 			case 'owner-lost': {
 				this.#drop(run => run.owner === event.owner, now);
-				this.lines.forget(event.owner);
+				this.peerQueues.forget(event.owner);
 				return;
 			}
 
 			case 'waiting': {
-				this.lines.hear(event, now);
+				this.peerQueues.update(event, now);
 				return;
 			}
 
@@ -136,12 +136,12 @@
 	load(endpoint: string, now: number): EndpointLoad {
 		const desk = this.#desks.get(endpoint);
 		if (desk === undefined) {
-			return {running: 0, tightRuns: 0, backlogMilliseconds: 0, idleMilliseconds: Infinity, readingShare: 0};
+			return {running: 0, latencyCriticalRuns: 0, backlogMilliseconds: 0, idleMilliseconds: Infinity, readingShare: 0};
 		}
 
 		return {
 			running: desk.runs.size,
-			tightRuns: desk.tightRuns,
+			latencyCriticalRuns: desk.latencyCriticalRuns,
 			backlogMilliseconds: this.#backlog(desk, now),
 			idleMilliseconds: desk.unread.size > 0 ? 0 : now - desk.idleAt,
 			readingShare: decayed(desk, now),
@@ -164,12 +164,12 @@
 	}
 
 	/** How long a plain service works on a request. */
-	workMilliseconds(service: string): number {
+	serviceTimeMilliseconds(service: string): number {
 		return this.#work.get(service) ?? firstWorkMilliseconds;
 	}
 
-	learnWork(service: string, milliseconds: number): void {
-		this.#work.set(service, this.workMilliseconds(service) + ((milliseconds - this.workMilliseconds(service)) * workWeight));
+	recordServiceTime(service: string, milliseconds: number): void {
+		this.#work.set(service, this.serviceTimeMilliseconds(service) + ((milliseconds - this.serviceTimeMilliseconds(service)) * workWeight));
 	}
 
 	/** Drops runs of which nobody has told for longer than any answer lasts. */
@@ -178,7 +178,7 @@
 	}
 
 	/** Says how much memory an endpoint's engine has. */
-	setMemory(endpoint: string, memoryTokens: number): void {
+	setCacheCapacity(endpoint: string, memoryTokens: number): void {
 		this.#desk(endpoint).parts.setMemory(memoryTokens);
 	}
 
@@ -200,7 +200,7 @@
 
 		const desk = this.#desk(run.endpoint);
 		const speed = this.speed(run.service);
-		const reading = readMilliseconds(speed, run.unreadTokens);
+		const reading = prefillMilliseconds(speed, run.prefillTokens);
 		if (desk.unread.size === 0) {
 			desk.turnAt = now;
 			desk.span = createSpan(now, true);
@@ -209,12 +209,12 @@
 		desk.service = run.service;
 		desk.share = decayed(desk, now) + (reading / shareMilliseconds);
 		desk.shareAt = now;
-		desk.tightRuns += run.isTight ? 1 : 0;
+		desk.latencyCriticalRuns += run.isLatencyCritical ? 1 : 0;
 		desk.parts.use(run.parts);
 		const held = {...run, placedAt: now, isRead: false};
 		desk.runs.set(run.id, held);
 		desk.unread.set(run.id, held);
-		desk.unreadTokens += run.unreadTokens;
+		desk.prefillTokens += run.prefillTokens;
 		this.#runs.set(run.id, held);
 	}
 
@@ -227,7 +227,7 @@
 
 		noteRead(desk, run, {now, readAt: now - this.speed(run.service).baseMilliseconds});
 		desk.parts.noteRead(run.parts);
-		desk.span.readTokens += run.unreadTokens;
+		desk.span.readTokens += run.prefillTokens;
 		desk.span.readRuns += 1;
 		if (desk.unread.size > 0 && desk.span.readRuns < longestSpanRuns) {
 			return;
@@ -250,7 +250,7 @@
 
 		this.#runs.delete(id);
 		desk.runs.delete(id);
-		desk.tightRuns -= run.isTight ? 1 : 0;
+		desk.latencyCriticalRuns -= run.isLatencyCritical ? 1 : 0;
 		if (!run.isRead) {
 			noteRead(desk, run, {now, readAt: now});
 			desk.span.isSpoilt = true;
@@ -263,7 +263,7 @@
 	 * idle between two prompts while requests wait.
 	 */
 	#backlog(desk: Desk, now: number): number {
-		return desk.unread.size === 0 ? 0 : Math.max(0, readMilliseconds(this.speed(desk.service), desk.unreadTokens) - (now - desk.turnAt));
+		return desk.unread.size === 0 ? 0 : Math.max(0, prefillMilliseconds(this.speed(desk.service), desk.prefillTokens) - (now - desk.turnAt));
 	}
 
 	#drop(isDropped: (run: Held) => boolean, now: number): void {
@@ -274,7 +274,7 @@
 }
 
 function createDesk(): Desk {
-	return {runs: new Map(), unread: new Map(), unreadTokens: 0, turnAt: 0, idleAt: 0, span: createSpan(0, true), parts: PartMemory.create(Infinity), service: '', share: 0, shareAt: 0, tightRuns: 0};
+	return {runs: new Map(), unread: new Map(), prefillTokens: 0, turnAt: 0, idleAt: 0, span: createSpan(0, true), parts: PartMemory.create(Infinity), service: '', share: 0, shareAt: 0, latencyCriticalRuns: 0};
 }
 
 function createSpan(at: number, isFromRest: boolean): Span {
@@ -285,7 +285,7 @@
 function noteRead(desk: Desk, run: Held, {now, readAt}: {now: number; readAt: number}): void {
 	run.isRead = true;
 	desk.unread.delete(run.id);
-	desk.unreadTokens -= run.unreadTokens;
+	desk.prefillTokens -= run.prefillTokens;
 	desk.turnAt = Math.max(desk.turnAt, readAt);
 	desk.idleAt = now;
 }
--- a/src/policy/dispatch/not-ready.ts
+++ b/src/policy/dispatch/not-ready.ts
@@ -9,6 +9,6 @@
 const elapsedFactor = 1.5;
 
 /** When a caller should come back to an instance that has had no routing table for so long, in milliseconds. */
-export function retryWithoutTable(elapsedMilliseconds: number): number {
+export function retryAfterWithoutTable(elapsedMilliseconds: number): number {
 	return Math.min(bounds.high, Math.max(bounds.low, elapsedMilliseconds * elapsedFactor));
 }
--- a/src/policy/dispatch/peer-lines.ts
+++ b/src/policy/dispatch/peer-queues.ts
@@ -7,13 +7,13 @@
  * stands still for a line that can't use it.
  */
 import {compareUrgency, type UrgencyPair} from '../../routing/index.js';
-import {isAtRisk} from './waiting-line.js';
+import {isAtRisk} from './waiting-queue.js';
 
 /** How many of one urgency wait. */
 export type UrgencyCount = UrgencyPair & {readonly count: number};
 
 /** Which urgencies wait at one instance for one service; none once nothing waits. */
-export type LineEvent = {readonly type: 'waiting'; readonly owner: string; readonly service: string; readonly urgencies: readonly UrgencyCount[]};
+export type QueueReport = {readonly type: 'waiting'; readonly owner: string; readonly service: string; readonly urgencies: readonly UrgencyCount[]};
 
 /** Urgencies that one instance tells for a service, those at risk and then the most urgent first: the others come after these anyway. */
 const mostUrgencies = 4;
@@ -27,14 +27,14 @@
 type Told = {readonly urgencies: readonly UrgencyCount[]; readonly at: number};
 
 /** What the other instances' lines are, as far as they told. */
-export class PeerLines {
-	static create(): PeerLines {
-		return new PeerLines();
+export class PeerQueues {
+	static create(): PeerQueues {
+		return new PeerQueues();
 	}
 
 	readonly #told = new Map<string, Map<string, Told>>();
 
-	hear({owner, service, urgencies}: LineEvent, now: number): void {
+	update({owner, service, urgencies}: QueueReport, now: number): void {
 		const ofService = this.#told.get(service) ?? new Map<string, Told>();
 		this.#told.set(service, ofService);
 		if (urgencies.length === 0) {
@@ -55,7 +55,7 @@
 	 * the two differ, a draft of a workspace that goes first does not hold up a confirmation of one that doesn't: the order of backlogs is
 	 * enough there, and holding back would end a kind of request.
 	 */
-	outranks(service: string, urgency: UrgencyPair, now: number): boolean {
+	hasMoreUrgent(service: string, urgency: UrgencyPair, now: number): boolean {
 		for (const {urgencies, at} of this.#told.get(service)?.values() ?? []) {
 			if (now - at < believedMilliseconds && urgencies.some(other => other.route <= urgency.route && goesBefore(other, urgency))) {
 				return true;
@@ -115,9 +115,9 @@
 }
 
 /** Decides when this instance tells of its lines: while something waits now and then, and once when nothing waits any more. */
-export class LineTeller {
-	static create(owner: string): LineTeller {
-		return new LineTeller(owner);
+export class QueueReporter {
+	static create(owner: string): QueueReporter {
+		return new QueueReporter(owner);
 	}
 
 	readonly #owner: string;
@@ -134,7 +134,7 @@
 	}
 
 	/** What there is to tell now. */
-	events(waiting: readonly OwnWaiting[], now: number): LineEvent[] {
+	events(waiting: readonly OwnWaiting[], now: number): QueueReport[] {
 		if (!this.isDue(waiting.length > 0, now)) {
 			return [];
 		}
@@ -144,8 +144,8 @@
 		this.#told = new Set(urgencies.keys());
 		this.#at = urgencies.size + ended.length > 0 ? now : this.#at;
 		return [
-			...[...urgencies].map(([service, ofService]): LineEvent => ({type: 'waiting', owner: this.#owner, service, urgencies: ofService})),
-			...ended.map((service): LineEvent => ({type: 'waiting', owner: this.#owner, service, urgencies: []})),
+			...[...urgencies].map(([service, ofService]): QueueReport => ({type: 'waiting', owner: this.#owner, service, urgencies: ofService})),
+			...ended.map((service): QueueReport => ({type: 'waiting', owner: this.#owner, service, urgencies: []})),
 		];
 	}
 }
--- a/src/policy/dispatch/placement.ts
+++ b/src/policy/dispatch/placement.ts
@@ -9,11 +9,11 @@
  * endpoints, and others keep away from those for as long as they run there.
  */
 import {hash32, mixHashes} from '../hashing/index.js';
-import {seenShare} from '../sharing/index.js';
-import {type Candidate, type Choice, type Circumstances, type Demand} from './demand.js';
+import {visibleRequestShare} from '../sharing/index.js';
+import {type Candidate, type Choice, type PlacementContext, type Demand} from './demand.js';
 import {type Judged, judgeEngine, type Overview, usableSlots} from './engine-cost.js';
-import {homeCost, homesOf} from './homes.js';
-import {type EndpointLoad, type LoadBook} from './load.js';
+import {homeCost, homesOf} from './prefix-affinity.js';
+import {type EndpointLoad, type LoadTracker} from './load.js';
 import {type Holder, holdersOf} from './transfer.js';
 
 /** Milliseconds of a round trip to another availability zone, and what its bytes cost. */
@@ -51,17 +51,17 @@
  * Chooses among candidates; at least one is needed. An endpoint that is behind is waited for only as
  * long as it is better than the best that is free by more than the wait so far.
  */
-export function choosePlace(book: LoadBook, demand: Demand, candidates: readonly Candidate[], circumstances: Circumstances): Choice {
+export function choosePlace(book: LoadTracker, demand: Demand, candidates: readonly Candidate[], circumstances: PlacementContext): Choice {
 	const overview = overviewOf(book, demand, candidates, circumstances);
-	const homes = demand.isTight ? [] : homesOf(demand.parts, candidates, overview.takenByTight);
+	const homes = demand.isLatencyCritical ? [] : homesOf(demand.parts, candidates, overview.takenByTight);
 	let free: Option | undefined;
 	let behind: Option | undefined;
-	let leastUnreadTokens = Infinity;
+	let leastPrefillTokens = Infinity;
 	for (const [index, candidate] of candidates.entries()) {
 		const load = overview.loads[index]!;
 		const judged = candidate.isEngine ? judgeEngine(book, demand, candidate, {load, place: index, isHome: candidate.id === homes[0], overview, circumstances}) : judgeService(book, demand, candidate, load);
-		const cost = judged.cost + (candidate.zone === circumstances.zone ? 0 : otherZoneMilliseconds) + homeCost(demand, homes, {id: candidate.id, unreadTokens: judged.unreadTokens});
-		leastUnreadTokens = Math.min(leastUnreadTokens, judged.unreadTokens);
+		const cost = judged.cost + (candidate.zone === circumstances.zone ? 0 : otherZoneMilliseconds) + homeCost(demand, homes, {id: candidate.id, prefillTokens: judged.prefillTokens});
+		leastPrefillTokens = Math.min(leastPrefillTokens, judged.prefillTokens);
 		if (judged.wait > 0) {
 			behind = behind === undefined || cost < behind.cost ? {id: candidate.id, cost, judged} : behind;
 		} else {
@@ -69,34 +69,34 @@
 		}
 	}
 
-	const isWorthWaiting = !demand.isTight && behind !== undefined && free !== undefined && behind.cost + behind.judged.wait + demand.waitedMilliseconds < free.cost;
+	const isWorthWaiting = !demand.isLatencyCritical && behind !== undefined && free !== undefined && behind.cost + behind.judged.wait + demand.waitedMilliseconds < free.cost;
 	if (free === undefined || isWorthWaiting) {
-		return {type: 'wait', endpoint: behind!.id, milliseconds: behind!.judged.wait, isForBetter: free !== undefined};
+		return {type: 'wait', endpoint: behind!.id, milliseconds: behind!.judged.wait, isDeferral: free !== undefined};
 	}
 
-	const {unreadTokens, fetch, expected} = free.judged;
-	return {type: 'place', endpoint: free.id, unreadTokens, fetch, expectedMilliseconds: expected, leastUnreadTokens};
+	const {prefillTokens, fetch, expected} = free.judged;
+	return {type: 'place', endpoint: free.id, prefillTokens, fetch, expectedMilliseconds: expected, leastPrefillTokens};
 }
 
-function overviewOf(book: LoadBook, {parts}: Demand, candidates: readonly Candidate[], circumstances: Circumstances): Overview {
+function overviewOf(book: LoadTracker, {parts}: Demand, candidates: readonly Candidate[], circumstances: PlacementContext): Overview {
 	const loads: EndpointLoad[] = [];
 	let reading = 0;
-	let tightRuns = 0;
+	let latencyCriticalRuns = 0;
 	let slots = 0;
 	for (const candidate of candidates) {
 		const load = book.load(candidate.id, circumstances.now);
 		loads.push(load);
 		reading += load.readingShare;
-		tightRuns += load.tightRuns;
+		latencyCriticalRuns += load.latencyCriticalRuns;
 		slots += candidate.slots;
 	}
 
 	const count = candidates.length;
-	const seen = seenShare(circumstances.view);
-	const takenByTight = Math.ceil(tightRuns / seen / (slots / count * circumstances.tuning.tightFill * ((1 + seen) / 2)));
+	const seen = visibleRequestShare(circumstances.view);
+	const takenByTight = Math.ceil(latencyCriticalRuns / seen / (slots / count * circumstances.tuning.tightFill * ((1 + seen) / 2)));
 	let holders: readonly Holder[] | undefined;
 	return {
-		loads: seen === 1 ? loads : withUnseen(loads, {takenByTight, tightRuns: tightRuns / seen, seen}),
+		loads: seen === 1 ? loads : withUnseen(loads, {takenByTight, latencyCriticalRuns: latencyCriticalRuns / seen, seen}),
 		spread: Math.max(takenByTight, Math.ceil(count * unseenSpread * (1 - seen))),
 		seen,
 		shift: seen === 1 ? 0 : mixHashes(parts.at(-1)?.id ?? 0, shiftSalt),
@@ -114,12 +114,12 @@
  * get twice as many requests as they have slots; or it sends long prompts where tight streams run of which it hasn't heard. What is not heard of is taken to
  * be at an engine partly as much as what is, and partly as anywhere. The engines that are left to tight streams run an equal part of these.
  */
-function withUnseen(loads: readonly EndpointLoad[], {takenByTight, tightRuns, seen}: {takenByTight: number; tightRuns: number; seen: number}): EndpointLoad[] {
+function withUnseen(loads: readonly EndpointLoad[], {takenByTight, latencyCriticalRuns, seen}: {takenByTight: number; latencyCriticalRuns: number; seen: number}): EndpointLoad[] {
 	const unseen = (1 - seen) / seen;
 	const add = (heard: number, mean: number): number => heard + (unseen * ((heard * likeHeard) + (mean * (1 - likeHeard))));
 	const mean = {running: meanOf(loads, ({running}) => running), backlog: meanOf(loads, ({backlogMilliseconds}) => backlogMilliseconds)};
 	return loads.map((load, place) => place < takenByTight
-		? {...load, running: load.running / seen, tightRuns: Math.max(load.tightRuns / seen, tightRuns / takenByTight)}
+		? {...load, running: load.running / seen, latencyCriticalRuns: Math.max(load.latencyCriticalRuns / seen, latencyCriticalRuns / takenByTight)}
 		: {...load, running: withError(add(load.running, mean.running), load.running), backlogMilliseconds: add(load.backlogMilliseconds, mean.backlog)});
 }
 
@@ -131,14 +131,14 @@
 	return loads.reduce((sum, load) => sum + part(load), 0) / loads.length;
 }
 
-function judgeService(book: LoadBook, demand: Demand, candidate: Candidate, {running}: EndpointLoad): Judged {
-	const work = book.workMilliseconds(demand.service);
+function judgeService(book: LoadTracker, demand: Demand, candidate: Candidate, {running}: EndpointLoad): Judged {
+	const work = book.serviceTimeMilliseconds(demand.service);
 	const expected = work * Math.max(1, (running + 1) / candidate.slots);
 	const wait = running >= usableSlots(candidate, demand) ? work / candidate.slots : 0;
-	return {cost: running / candidate.slots * work, wait, unreadTokens: 0, fetch: undefined, expected};
+	return {cost: running / candidate.slots * work, wait, prefillTokens: 0, fetch: undefined, expected};
 }
 
 /** Puts candidates in the order in which tight streams fill them; ids decide, so all instances agree. */
-export function inOrder(candidates: ReadonlyArray<Omit<Candidate, 'hash'>>): Candidate[] {
+export function inHashOrder(candidates: ReadonlyArray<Omit<Candidate, 'hash'>>): Candidate[] {
 	return candidates.map(candidate => ({...candidate, hash: hash32(candidate.id)})).toSorted((left, right) => left.hash - right.hash);
 }
--- a/src/policy/dispatch/homes.ts
+++ b/src/policy/dispatch/prefix-affinity.ts
@@ -1,6 +1,6 @@
 import {mixHashes} from '../hashing/index.js';
 import {type Candidate, type Demand} from './demand.js';
-import {type PromptPart} from './part-memory.js';
+import {type PromptPart} from './prefix-cache.js';
 
 /**
  * The first choices of a prompt's beginning by rendezvous hashing are better by so much: about the reading
@@ -36,12 +36,12 @@
 }
 
 /** What a place costs for being no home of the prompt's beginning, less what it gains for being one. */
-export function homeCost({parts, waitedMilliseconds}: Demand, homes: readonly string[], {id, unreadTokens}: {id: string; unreadTokens: number}): number {
+export function homeCost({parts, waitedMilliseconds}: Demand, homes: readonly string[], {id, prefillTokens}: {id: string; prefillTokens: number}): number {
 	const rank = homes.indexOf(id);
 	if (rank !== -1) {
 		return -(homeMilliseconds[rank] ?? 0);
 	}
 
 	const own = parts.at(-1)?.tokens ?? 0;
-	return homes.length === 0 || unreadTokens <= own ? 0 : Math.max(0, strangerMilliseconds - waitedMilliseconds);
+	return homes.length === 0 || prefillTokens <= own ? 0 : Math.max(0, strangerMilliseconds - waitedMilliseconds);
 }
--- a/src/policy/dispatch/line-looks.ts
+++ b/src/policy/dispatch/scan-results.ts
@@ -9,7 +9,7 @@
 import {type UrgencyPair} from '../../routing/index.js';
 
 /** Requests that the same endpoints are open to: of one service and urgency, and without tight pauses. */
-export function groupOf({service, urgency}: {readonly service: string; readonly urgency: UrgencyPair}): string {
+export function groupKeyOf({service, urgency}: {readonly service: string; readonly urgency: UrgencyPair}): string {
 	return `${service} ${urgency.workspace} ${urgency.route}`;
 }
 
@@ -20,9 +20,9 @@
 const missesEachEndpoint = 2;
 
 /** What one try of the line has found; the next begins anew. */
-export class LineLooks {
-	static create(): LineLooks {
-		return new LineLooks();
+export class ScanResults {
+	static create(): ScanResults {
+		return new ScanResults();
 	}
 
 	/** Until the best endpoint may take one of the group, in milliseconds. */
@@ -30,17 +30,17 @@
 	readonly #misses = new Map<string, number>();
 
 	/** How long a group has to wait, as one of it has found; undefined while looks are worth their time. */
-	waitOf(group: string): number | undefined {
+	waitMilliseconds(group: string): number | undefined {
 		return this.#closed.get(group);
 	}
 
 	/** No endpoint takes any of the group for so long. */
-	noteFull(group: string, milliseconds: number): void {
+	recordFull(group: string, milliseconds: number): void {
 		this.#closed.set(group, milliseconds);
 	}
 
 	/** One of the group found an endpoint, and didn't get it. */
-	noteMiss(group: string, {endpoints, milliseconds}: {readonly endpoints: number; readonly milliseconds: number}): void {
+	recordMiss(group: string, {endpoints, milliseconds}: {readonly endpoints: number; readonly milliseconds: number}): void {
 		const misses = (this.#misses.get(group) ?? 0) + 1;
 		this.#misses.set(group, misses);
 		if (misses >= endpoints * missesEachEndpoint) {
--- a/src/policy/dispatch/speed.ts
+++ b/src/policy/dispatch/speed.ts
@@ -80,12 +80,12 @@
 		return state;
 	}
 
-	const short = add(state.short, {above: milliseconds - readMilliseconds(state, tokens), below: 1}, weight);
+	const short = add(state.short, {above: milliseconds - prefillMilliseconds(state, tokens), below: 1}, weight);
 	return {...state, short, baseMilliseconds: clamp(short.above / short.below, baseBounds)};
 }
 
 function predictedMilliseconds(state: ReadingSpeed, {tokens, isFromRest}: ReadingSpan): number {
-	return (isFromRest ? state.baseMilliseconds : 0) + readMilliseconds(state, tokens);
+	return (isFromRest ? state.baseMilliseconds : 0) + prefillMilliseconds(state, tokens);
 }
 
 function cut(state: ReadingSpeed, {milliseconds, isFromRest}: ReadingSpan, predicted: number): number {
@@ -95,7 +95,7 @@
 }
 
 /** The time an engine needs to read so many tokens. */
-export function readMilliseconds(state: ReadingSpeed, tokens: number): number {
+export function prefillMilliseconds(state: ReadingSpeed, tokens: number): number {
 	return tokens / state.tokensPerMillisecond;
 }
 
--- a/src/policy/dispatch/transfer.ts
+++ b/src/policy/dispatch/transfer.ts
@@ -3,10 +3,10 @@
  * again elsewhere, a beginning of 13,000 tokens takes an engine 200 ms in which the streams there
  * pause; taken over the engines' own links it takes 30 ms, and the engine goes on with its steps.
  */
-import {type Candidate, type Circumstances, type Fetch} from './demand.js';
-import {type EndpointLoad, type LoadBook} from './load.js';
-import {type PromptPart} from './part-memory.js';
-import {readMilliseconds, type ReadingSpeed} from './speed.js';
+import {type Candidate, type PlacementContext, type Fetch} from './demand.js';
+import {type EndpointLoad, type LoadTracker} from './load.js';
+import {type PromptPart} from './prefix-cache.js';
+import {prefillMilliseconds, type ReadingSpeed} from './speed.js';
 
 /** Less than this saved is not worth a transfer: about what it takes to begin one, and a margin for a wrong guess of what is kept. */
 const leastSavedMilliseconds = 10;
@@ -19,7 +19,7 @@
 export type Holder = {readonly id: string; readonly zone: string; readonly missingTokens: number; readonly running: number};
 
 /** The best holders of a prompt, one for each availability zone. */
-export function holdersOf(book: LoadBook, parts: readonly PromptPart[], candidates: readonly Candidate[], {loads, tuning}: Pick<Circumstances, 'tuning'> & {loads: readonly EndpointLoad[]}): readonly Holder[] {
+export function holdersOf(book: LoadTracker, parts: readonly PromptPart[], candidates: readonly Candidate[], {loads, tuning}: Pick<PlacementContext, 'tuning'> & {loads: readonly EndpointLoad[]}): readonly Holder[] {
 	if (!tuning.fetches) {
 		return [];
 	}
@@ -37,18 +37,18 @@
 }
 
 /** False where a transfer can't save enough, since what is shared of the prompt, or lacks, is short. */
-export function isWorthFetching(parts: readonly PromptPart[], unreadTokens: number, speed: ReadingSpeed): boolean {
-	return readMilliseconds(speed, unreadTokens - (parts.at(-1)?.tokens ?? 0)) > leastSavedMilliseconds;
+export function isWorthFetching(parts: readonly PromptPart[], prefillTokens: number, speed: ReadingSpeed): boolean {
+	return prefillMilliseconds(speed, prefillTokens - (parts.at(-1)?.tokens ?? 0)) > leastSavedMilliseconds;
 }
 
 /** The transfer that spares an engine most time for a prompt of which it lacks so many tokens; undefined if none is worth it. */
-export function chooseFetch(holders: readonly Holder[], {id, zone}: Candidate, {unreadTokens, speed, tokensPerMillisecond}: {unreadTokens: number; speed: ReadingSpeed; tokensPerMillisecond: number}): Fetch | undefined {
+export function chooseFetch(holders: readonly Holder[], {id, zone}: Candidate, {prefillTokens, speed, tokensPerMillisecond}: {prefillTokens: number; speed: ReadingSpeed; tokensPerMillisecond: number}): Fetch | undefined {
 	let best: Fetch | undefined;
 	let most = leastSavedMilliseconds;
 	for (const holder of holders) {
-		const tokens = unreadTokens - holder.missingTokens;
+		const tokens = prefillTokens - holder.missingTokens;
 		const milliseconds = startMilliseconds + (tokens / tokensPerMillisecond * (holder.zone === zone ? 1 : otherZoneFactor));
-		const saved = readMilliseconds(speed, tokens) - milliseconds;
+		const saved = prefillMilliseconds(speed, tokens) - milliseconds;
 		if (holder.id !== id && saved > most) {
 			best = {from: holder.id, tokens, milliseconds};
 			most = saved;
--- a/src/policy/dispatch/waiting-line.ts
+++ b/src/policy/dispatch/waiting-queue.ts
@@ -1,5 +1,5 @@
 import {compareUrgency, type UrgencyPair} from '../../routing/index.js';
-import {groupOf} from './line-looks.js';
+import {groupKeyOf} from './scan-results.js';
 
 /**
  * Load pattern: demand above what the endpoints can do. Served in order of arrival, urgent requests
@@ -11,7 +11,7 @@
  * A workspace that goes first does so in all its kinds of request. Failure: it sends many drafts, and for as long as these come, others'
  * confirmations get nothing at all. Whoever has used half of its time is therefore at risk, and goes before every less urgent kind, whoever sends it.
  */
-export type Waiting = {
+export type QueuedRequest = {
 	readonly id: string;
 	readonly workspace: string;
 	readonly service: string;
@@ -29,7 +29,7 @@
 const riskShare = 0.5;
 
 /** Whether a request is at risk to get nothing: from then on its kind alone decides whom it goes before. */
-export function isAtRisk({arrivedAt, lastStartAt}: Pick<Waiting, 'arrivedAt' | 'lastStartAt'>, now: number): boolean {
+export function isAtRisk({arrivedAt, lastStartAt}: Pick<QueuedRequest, 'arrivedAt' | 'lastStartAt'>, now: number): boolean {
 	return now - arrivedAt > (lastStartAt - arrivedAt) * riskShare;
 }
 
@@ -44,12 +44,12 @@
 type Group = {readonly service: string; readonly urgency: UrgencyPair; readonly count: number; readonly work: number};
 
 /** A pure value: who waits, and what each workspace had lately. */
-export class WaitingLine {
-	static create(): WaitingLine {
-		return new WaitingLine();
+export class WaitingQueue {
+	static create(): WaitingQueue {
+		return new WaitingQueue();
 	}
 
-	readonly #waiting = new Map<string, Waiting>();
+	readonly #waiting = new Map<string, QueuedRequest>();
 	/** How many wait of each group and what they ask for, kept as they come and go: a refusal asks for it again and again. */
 	readonly #groups = new Map<string, Group>();
 	readonly #had = new Map<string, {work: number; at: number}>();
@@ -60,7 +60,7 @@
 		return this.#waiting.size;
 	}
 
-	add(waiting: Waiting): void {
+	add(waiting: QueuedRequest): void {
 		this.remove(waiting.id);
 		this.#waiting.set(waiting.id, waiting);
 		this.#count(waiting, 1);
@@ -78,7 +78,7 @@
 	}
 
 	/** A workspace's request was placed. */
-	charge({workspace, service, work}: Pick<Waiting, 'workspace' | 'service' | 'work'>, now: number): void {
+	charge({workspace, service, work}: Pick<QueuedRequest, 'workspace' | 'service' | 'work'>, now: number): void {
 		this.#had.set(workspace, {work: this.#recentWork(workspace, now) + work, at: now});
 		this.#started.set(service, {work: this.#recentlyStarted(service, now) + work, at: now});
 	}
@@ -89,13 +89,13 @@
 	}
 
 	/** Those that can't be started in time any more. */
-	expired(now: number): Waiting[] {
+	expired(now: number): QueuedRequest[] {
 		return [...this.#waiting.values()].filter(({lastStartAt}) => now > lastStartAt);
 	}
 
 	/** Of the least urgent the one that came last. */
-	last(): Waiting | undefined {
-		let last: Waiting | undefined;
+	last(): QueuedRequest | undefined {
+		let last: QueuedRequest | undefined;
 		for (const waiting of this.#waiting.values()) {
 			const order = last === undefined ? 1 : (compareUrgency(waiting.urgency, last.urgency) || waiting.arrivedAt - last.arrivedAt);
 			last = order >= 0 ? waiting : last;
@@ -105,7 +105,7 @@
 	}
 
 	/** Everyone, in the order in which they should be tried now. */
-	ordered(now: number): Waiting[] {
+	ordered(now: number): QueuedRequest[] {
 		const waiting = [...this.#waiting.values()];
 		const recent = new Map(waiting.map(({workspace}) => [workspace, this.#recentWork(workspace, now)]));
 		waiting.sort((left, right) => compareUrgency(left.urgency, right.urgency)
@@ -140,8 +140,8 @@
 	}
 
 	/** One more or one less of its group; a group of none is gone, so that sums of its work don't drift. */
-	#count(waiting: Waiting, change: 1 | -1): void {
-		const key = groupOf(waiting);
+	#count(waiting: QueuedRequest, change: 1 | -1): void {
+		const key = groupKeyOf(waiting);
 		const {service, urgency, work} = waiting;
 		const group = this.#groups.get(key) ?? {service, urgency, count: 0, work: 0};
 		if (group.count + change === 0) {
@@ -162,7 +162,7 @@
 	}
 }
 
-function longestWaiting(all: readonly Waiting[]): Waiting {
+function longestWaiting(all: readonly QueuedRequest[]): QueuedRequest {
 	let oldest = all[0]!;
 	for (const waiting of all) {
 		oldest = waiting.arrivedAt < oldest.arrivedAt ? waiting : oldest;
@@ -172,10 +172,10 @@
 }
 
 /** Moves whoever is at risk before the first of a less urgent kind, and nobody back; those moved keep their order among their kind. */
-function putAtRiskFirst(all: readonly Waiting[], now: number): readonly Waiting[] {
+function putAtRiskFirst(all: readonly QueuedRequest[], now: number): readonly QueuedRequest[] {
 	let leastUrgent = -Infinity;
-	const moved: Waiting[] = [];
-	const others: Waiting[] = [];
+	const moved: QueuedRequest[] = [];
+	const others: QueuedRequest[] = [];
 	for (const waiting of all) {
 		const {route} = waiting.urgency;
 		(route < leastUrgent && isAtRisk(waiting, now) ? moved : others).push(waiting);
@@ -187,7 +187,7 @@
 	}
 
 	moved.sort((left, right) => left.urgency.route - right.urgency.route);
-	const merged: Waiting[] = [];
+	const merged: QueuedRequest[] = [];
 	let next = 0;
 	for (const waiting of others) {
 		for (; next < moved.length && moved[next]!.urgency.route < waiting.urgency.route; next++) {
--- a/src/policy/eras/index.ts
+++ b/src/policy/eras/index.ts
@@ -5,7 +5,7 @@
  */
 
 /** What an answer said of its era. */
-export type EraVerdict
+export type EraCheck
 	= | {readonly type: 'same'; readonly era: number}
 	/** The store has come back from a copy since the last answer. */
 		| {readonly type: 'risen'; readonly era: number; readonly before: number}
@@ -18,14 +18,14 @@
 export const firstEra = 0;
 
 /** The newest era that any answer named. */
-export type KnownEra = {readonly era: number; readonly isTold: boolean};
+export type KnownEra = {readonly era: number; readonly isReported: boolean};
 
-export const unknownEra: KnownEra = {era: firstEra, isTold: false};
+export const unknownEra: KnownEra = {era: firstEra, isReported: false};
 
 /** Takes what one answer said. A store that never says an era has just one. */
-export function hearEra(known: KnownEra, said: string | undefined): EraVerdict {
-	const {era, isTold} = known;
-	if (said === undefined && !isTold) {
+export function checkEra(known: KnownEra, said: string | undefined): EraCheck {
+	const {era, isReported} = known;
+	if (said === undefined && !isReported) {
 		return {type: 'same', era};
 	}
 
@@ -38,15 +38,15 @@
 		return {type: 'outdated', era, said: heard};
 	}
 
-	return heard > era && isTold ? {type: 'risen', era: heard, before: era} : {type: 'same', era: heard};
+	return heard > era && isReported ? {type: 'risen', era: heard, before: era} : {type: 'same', era: heard};
 }
 
 /** What is known after an answer. */
-export function afterEra(known: KnownEra, verdict: EraVerdict, said: string | undefined): KnownEra {
+export function updateKnownEra(known: KnownEra, verdict: EraCheck, said: string | undefined): KnownEra {
 	switch (verdict.type) {
 		case 'same':
 		case 'risen': {
-			return {era: verdict.era, isTold: known.isTold || said !== undefined};
+			return {era: verdict.era, isReported: known.isReported || said !== undefined};
 		}
 
 		case 'outdated':
--- a/src/policy/limits/keeper.ts
+++ b/src/policy/limits/keeper.ts
@@ -12,7 +12,7 @@
 type Holding = {readonly lease: Lease; readonly demand: Demand; readonly until: number};
 
 /** What a keeper knows of one class: who holds what. */
-export type KeeperState = ReadonlyMap<string, Holding>;
+export type AllocatorState = ReadonlyMap<string, Holding>;
 
 export type KeeperSettings = {
 	/** A share's time while the class is near its limit: how long a shift of traffic may go unnoticed. */
@@ -35,12 +35,12 @@
 export const travelMilliseconds = 200;
 
 /** A keeper that has leased nothing. */
-export function createKeeper(): KeeperState {
+export function createAllocator(): AllocatorState {
 	return new Map();
 }
 
 /** Takes an entry's report and leases it its share of the limits. */
-export function leaseShare(state: KeeperState, request: {holder: string; demand: Demand; limits: Limits}, now: number, settings = keeperSettings): {state: KeeperState; lease: Lease} {
+export function grantLease(state: AllocatorState, request: {holder: string; demand: Demand; limits: Limits}, now: number, settings = keeperSettings): {state: AllocatorState; lease: Lease} {
 	const {holder, demand, limits} = request;
 	const others = [...state].filter(([name, holding]) => name !== holder && holding.until > now);
 	const holdings = others.map(([, holding]) => holding);
--- a/src/policy/ownership/index.ts
+++ b/src/policy/ownership/index.ts
@@ -13,26 +13,26 @@
 export type OwnershipRecord = z.infer<typeof ownershipRecordSchema>;
 
 /** The last owner that the endpoint's stream names, and its fencing number. */
-export type Ownership = {readonly next: number; readonly owner?: {readonly instance: string; readonly fence: number}};
+export type Ownership = {readonly nextOffset: number; readonly owner?: {readonly instance: string; readonly fence: number}};
 
 /** How long a reading of the stream counts. An engine takes an order within a fraction of it. */
 export const ownershipLeaseMilliseconds = 3000;
 
 export function createOwnership(): Ownership {
-	return {next: 0};
+	return {nextOffset: 0};
 }
 
 /** Applies records in log order; repeats of an owner's record raise its fence, which is harmless. */
 export function foldOwnership(state: Ownership, records: ReadonlyArray<{readonly offset: number; readonly value: unknown}>): Ownership {
 	let current = state;
 	for (const {offset, value} of records) {
-		if (offset < current.next) {
+		if (offset < current.nextOffset) {
 			continue;
 		}
 
 		const parsed = ownershipRecordSchema.safeParse(value);
 		const owner = parsed.success ? {instance: parsed.data.instance, fence: offset} : current.owner;
-		current = {next: offset + 1, ...(owner && {owner})};
+		current = {nextOffset: offset + 1, ...(owner && {owner})};
 	}
 
 	return current;
--- a/src/policy/placement/index.ts
+++ b/src/policy/placement/index.ts
@@ -3,6 +3,6 @@
 export {leastInFlight, powerOfTwo, randomPlacement, roundRobin} from './baselines.js';
 export type {Fleet} from './fleet.js';
 export {
-	chooseSubset, createSubsetPlacement, subsetFigures, subsetPlacement,
-	type SubsetFigures, type SubsetState,
+	chooseSubset, createSubsetPlacement, subsetSettings, subsetPlacement,
+	type SubsetSettings, type SubsetState,
 } from './subset.js';
--- a/src/policy/placement/subset.ts
+++ b/src/policy/placement/subset.ts
@@ -11,14 +11,14 @@
  */
 import {Tier, type EndpointId, type RequestId, type RequestSummary, type ZoneName} from '../../model/index.js';
 import {hash32, rankByRendezvous} from '../hashing/index.js';
-import {createStragglers, isEjected, measuredTokenMilliseconds, stepStragglers, trickleIsDue, trickleMilliseconds, type Stragglers} from '../stragglers/index.js';
+import {createStragglers, isEjected, measuredTokenMilliseconds, stepStragglers, isProbeDue, probeIntervalMilliseconds, type Stragglers} from '../stragglers/index.js';
 import {certainlyFree, defaultAnswerTokens, defaultTokenMilliseconds, estimateWait} from './estimate.js';
 import {createFleet, stepFleet, usableSides, type Fleet, type SideRecord} from './fleet.js';
 import {forgetPrefixes, holdsPrefix, rememberPrefix, type PrefixMemory} from './prefixes.js';
 import {type Choice, type Placement, type PlacementEvent} from './types.js';
 
 /** What can be measured against each other in the bench. */
-export type SubsetFigures = {
+export type SubsetSettings = {
 	/** Sides of one target that an entry looks at. */
 	readonly subsetSize: number;
 	/** Of these, places kept for sides of other availability zones. */
@@ -43,7 +43,7 @@
  * half the entries. Two reservations: the first extra choice brings most of the gain, each further
  * one costs two frames. A hop between availability zones is about a millisecond one way.
  */
-export const subsetFigures: SubsetFigures = {
+export const subsetSettings: SubsetSettings = {
 	subsetSize: 16,
 	otherZones: 6,
 	reservations: 2,
@@ -68,7 +68,7 @@
 };
 
 /** The subset of sides that an instance looks at: its own availability zone first, the rest spread over the others. */
-export function chooseSubset(instance: string, zone: ZoneName, sides: readonly SideRecord[], figures: SubsetFigures): readonly SideRecord[] {
+export function chooseSubset(instance: string, zone: ZoneName, sides: readonly SideRecord[], figures: SubsetSettings): readonly SideRecord[] {
 	if (sides.length <= figures.subsetSize) {
 		return sides;
 	}
@@ -82,7 +82,7 @@
 }
 
 /** Makes the placement with other figures than the product's. */
-export function createSubsetPlacement(figures: SubsetFigures): Placement<SubsetState> {
+export function createSubsetPlacement(figures: SubsetSettings): Placement<SubsetState> {
 	return {
 		create: settings => ({
 			fleet: createFleet(settings), stragglers: createStragglers(), prefixes: new Map(), tokens: new Map(), answerTokens: defaultAnswerTokens,
@@ -93,7 +93,7 @@
 }
 
 /** The placement that entries use. */
-export const subsetPlacement = createSubsetPlacement(subsetFigures);
+export const subsetPlacement = createSubsetPlacement(subsetSettings);
 
 function stepSubset(state: SubsetState, event: PlacementEvent, now: number): SubsetState {
 	const next = {...state, fleet: stepFleet(state.fleet, event, now)};
@@ -172,7 +172,7 @@
 
 type Candidate = {readonly side: SideRecord; readonly cost: number; readonly reason: string};
 
-function chooseSides(figures: SubsetFigures, state: SubsetState, question: Question): Choice {
+function chooseSides(figures: SubsetSettings, state: SubsetState, question: Question): Choice {
 	const {usable, reasons} = usableSides(state.fleet, question.summary, question.excluded);
 	const subset = chooseSubset(state.fleet.instance, state.fleet.zone, usable, figures);
 	const trickled = findTrickle(state, subset, question);
@@ -195,18 +195,18 @@
 	};
 }
 
-function reservationsFor({reservations, topReservations}: SubsetFigures, {tier}: RequestSummary): number {
+function reservationsFor({reservations, topReservations}: SubsetSettings, {tier}: RequestSummary): number {
 	return tier === Tier.highest && reservations > 1 ? topReservations : reservations;
 }
 
 /** A highest-tier request is never the one that tries a slow endpoint while a lower one could. */
 function findTrickle(state: SubsetState, subset: readonly SideRecord[], {summary, now}: Question): SideRecord | undefined {
-	const patience = summary.tier === Tier.highest ? 3 * trickleMilliseconds : 0;
+	const patience = summary.tier === Tier.highest ? 3 * probeIntervalMilliseconds : 0;
 	return subset.find(side => isEjected(state.stragglers, side.view.endpoint)
-		&& trickleIsDue({inFlight: side.own.size, lastReservedAt: side.lastReservedAt + patience}, now));
+		&& isProbeDue({inFlight: side.own.size, lastReservedAt: side.lastReservedAt + patience}, now));
 }
 
-function weigh(figures: SubsetFigures, state: SubsetState, side: SideRecord, question: Question & {readonly home: EndpointId | undefined}): Candidate {
+function weigh(figures: SubsetSettings, state: SubsetState, side: SideRecord, question: Question & {readonly home: EndpointId | undefined}): Candidate {
 	const {summary, now} = question;
 	const {endpoint, zone} = side.view;
 	const tokenMilliseconds = measuredTokenMilliseconds(state.stragglers, endpoint, now) ?? (side.view.tokenMilliseconds || defaultTokenMilliseconds);
--- a/src/policy/quarantine/index.ts
+++ b/src/policy/quarantine/index.ts
@@ -37,7 +37,7 @@
 }
 
 /** Makes the record that a side writes when its endpoint dies. */
-export function createCrash(side: InstanceId, endpoint: EndpointId, fingerprints: Iterable<string>, now: number): CrashRecord {
+export function createCrashRecord(side: InstanceId, endpoint: EndpointId, fingerprints: Iterable<string>, now: number): CrashRecord {
 	return {type: 'crashed', crash: `${side}@${Math.floor(now)}`, endpoint, fingerprints: [...new Set(fingerprints)].toSorted(), time: now};
 }
 
@@ -72,9 +72,9 @@
 }
 
 /** What is held against a fingerprint, and the crashes that hold it. */
-export type Judgement = {readonly suspicion: Suspicion; readonly crashes: readonly CrashRecord[]};
+export type FingerprintStatus = {readonly suspicion: Suspicion; readonly crashes: readonly CrashRecord[]};
 
-export function judgeFingerprint(state: Quarantine, fingerprint: string, now: number): Judgement {
+export function evaluateFingerprint(state: Quarantine, fingerprint: string, now: number): FingerprintStatus {
 	const held = heldCrashes(state, fingerprint, now);
 	if (held.length >= quarantiningCrashes) {
 		return {suspicion: Suspicion.quarantined, crashes: held};
@@ -104,18 +104,18 @@
 export function listQuarantined(state: Quarantine, now: number): ReadonlyArray<{readonly fingerprint: string; readonly crashes: readonly CrashRecord[]}> {
 	const fingerprints = new Set([...state.crashes.values()].flatMap(crash => crash.fingerprints));
 	return [...fingerprints].toSorted()
-		.map(fingerprint => ({fingerprint, ...judgeFingerprint(state, fingerprint, now)}))
+		.map(fingerprint => ({fingerprint, ...evaluateFingerprint(state, fingerprint, now)}))
 		.filter(({suspicion}) => suspicion === Suspicion.quarantined)
 		.map(({fingerprint, crashes}) => ({fingerprint, crashes}));
 }
 
 /** The record that clears a suspect which ran to its end: of the crashes that were held against it when it started. */
-export function createClearing(fingerprint: string, judgedAtStart: Judgement, now: number): ClearedRecord {
+export function createClearedRecord(fingerprint: string, judgedAtStart: FingerprintStatus, now: number): ClearedRecord {
 	return {type: 'cleared', fingerprint, crashes: judgedAtStart.crashes.map(({crash}) => crash), time: now};
 }
 
 /** The record by which an operator lets a fingerprint go: of the crashes known now, so that a later one counts again. */
-export function createRelease(state: Quarantine, fingerprint: string, operator: string, now: number): ReleasedRecord {
+export function createReleasedRecord(state: Quarantine, fingerprint: string, operator: string, now: number): ReleasedRecord {
 	const crashes = [...state.crashes.values()].filter(crash => crash.fingerprints.includes(fingerprint)).map(({crash}) => crash);
 	return {type: 'released', fingerprint, crashes, operator, time: now};
 }
--- a/src/policy/retries/index.ts
+++ b/src/policy/retries/index.ts
@@ -54,7 +54,7 @@
 	readonly attempts: number;
 	readonly idempotent: boolean;
 	/** Whether any part of the body was sent to a side in this or an earlier attempt. */
-	readonly bodyLeft: boolean;
+	readonly isBodySent: boolean;
 	/** When the request must have a slot, by the caller's clock of `now`. */
 	readonly deadline: number;
 };
@@ -73,7 +73,7 @@
 
 	// Failure: a side's "not run" crosses with a body that did start. Symptom: a kitchen ticket is
 	// printed twice. Once its body has left, a non-idempotent request is nobody's to send again.
-	if (!verdictAllows(attempt.failure.verdict, attempt.idempotent) || (attempt.bodyLeft && !attempt.idempotent)) {
+	if (!verdictAllows(attempt.failure.verdict, attempt.idempotent) || (attempt.isBodySent && !attempt.idempotent)) {
 		return {type: 'give-up', reason: 'verdict'};
 	}
 
--- a/src/policy/scheduler/first-come.ts
+++ b/src/policy/scheduler/first-come.ts
@@ -14,7 +14,7 @@
  * nor workspaces. It answers even load. Under a burst the top tier waits behind everyone, and one
  * caller's flood delays all others; it is kept as the line that `tiered` must beat.
  */
-export function firstCome(given: Partial<SchedulerSettings> = {}): Scheduler<FirstComeState> {
+export function createFifoScheduler(given: Partial<SchedulerSettings> = {}): Scheduler<FirstComeState> {
 	const settings = createSettings(given);
 	return {
 		create: () => ({ledger: emptyLedger, leaving: false, up: true, tokenMilliseconds: 0}),
--- a/src/policy/scheduler/tiered.ts
+++ b/src/policy/scheduler/tiered.ts
@@ -19,7 +19,7 @@
  * the event is taken in, then what is out of time goes, then slots are offered, and only what still
  * finds none may preempt.
  */
-export function tiered(given: Partial<SchedulerSettings> = {}): Scheduler<TieredState> {
+export function createTieredScheduler(given: Partial<SchedulerSettings> = {}): Scheduler<TieredState> {
 	const settings = createSettings(given);
 	return {
 		create: () => createState(settings),
--- a/src/policy/sharing/neighbours.ts
+++ b/src/policy/sharing/neighbours.ts
@@ -25,7 +25,7 @@
 	/** All that it is to be linked with. */
 	readonly linked: ReadonlySet<string>;
 	/** Those of them that it dials; it is dialled by the others. Of each pair just one dials. */
-	readonly dialled: readonly string[];
+	readonly dials: readonly string[];
 };
 
 /** Whom it looks for, and who looks for it. */
@@ -51,7 +51,7 @@
 function toNeighbours(own: Member, parts: readonly Wanted[]): Neighbours {
 	const byOwn = new Set(parts.flatMap(part => [...part.byOwn]));
 	const byThem = new Set(parts.flatMap(part => [...part.byThem]));
-	return {linked: new Set([...byOwn, ...byThem]), dialled: [...byOwn].filter(name => !byThem.has(name) || name > own.name)};
+	return {linked: new Set([...byOwn, ...byThem]), dials: [...byOwn].filter(name => !byThem.has(name) || name > own.name)};
 }
 
 function zonePart(own: Member, zone: readonly Member[], isReachable: (name: string) => boolean): Wanted {
--- a/src/policy/sharing/reading-pace.ts
+++ b/src/policy/sharing/reading-pace.ts
@@ -6,7 +6,7 @@
  */
 
 /** A pause between two readings: how many readings there were before it, and a draw from 0 to 1 that stays the same while it lasts. */
-export type ReadingPause = {readonly readings: number; readonly draw: number};
+export type PollPosition = {readonly polls: number; readonly draw: number};
 
 /** What decides how often the endpoints are read. */
 export type EndpointReading = {
@@ -21,7 +21,7 @@
 /** The store keeps its history for twenty seconds: who reads more rarely has to read everything each time. */
 const longestPauseMilliseconds = 12_000;
 /** A reading of the endpoints that is no older than the longest pause and a slow answer is of now. */
-export const recentReadingMilliseconds = longestPauseMilliseconds + 2000;
+export const recentPollMilliseconds = longestPauseMilliseconds + 2000;
 
 /** From so many others on. */
 const othersThatTell = 2;
@@ -35,7 +35,7 @@
 const firstReadings = 6;
 
 /** How long an instance waits until it reads the endpoints again, in milliseconds. */
-export function endpointPause(reading: EndpointReading, {readings, draw}: ReadingPause): number {
+export function endpointPollInterval(reading: EndpointReading, {polls: readings, draw}: PollPosition): number {
 	const least = readings <= firstReadings ? leastPart.first : leastPart.later;
 	return wholePause(reading) * (least + ((1 - least) * draw));
 }
@@ -55,13 +55,13 @@
 const routingWaits = {least: 2500, each: 900, most: 20_000};
 
 /** A reading of changes that is about to be sent. */
-export type ChangeReading = {
+export type LongPoll = {
 	/** Instances that read too and tell. */
 	readonly others: number;
 	/** Readings since the last change or failure. */
-	readonly readings: number;
+	readonly polls: number;
 	/** Whether the store has left a call without an answer since it last gave one. */
-	readonly isDoubted: boolean;
+	readonly isStoreUnresponsive: boolean;
 };
 
 /**
@@ -71,7 +71,7 @@
  * with it what was accepted meanwhile. In doubt a reading asks for what is there, which is known to be lost within a second.
  * A change ends all waits at one moment: the next is any part of a whole one, so that they end at different moments again.
  */
-export function routingWait({others, readings, isDoubted}: ChangeReading, draw: number): number {
+export function routingLongPollWait({others, polls: readings, isStoreUnresponsive: isDoubted}: LongPoll, draw: number): number {
 	if (isDoubted) {
 		return 0;
 	}
@@ -85,7 +85,7 @@
 const instancePauses = {first: 600, factor: 4, longest: 20_000};
 
 /** How long until the announcements of instances are read again, in milliseconds. */
-export function instancePause({readings}: ReadingPause): number {
+export function instancePollInterval({polls: readings}: PollPosition): number {
 	return Math.min(instancePauses.longest, instancePauses.first * (instancePauses.factor ** (readings - 1)));
 }
 
@@ -106,13 +106,13 @@
 	readonly others: number;
 	readonly hasRead: boolean;
 	/** The pause after a reading that succeeds. */
-	readonly usualMilliseconds: number;
+	readonly pollIntervalMilliseconds: number;
 	/** What is read is to be known everywhere within this. */
 	readonly applyMilliseconds: number;
 };
 
 /** How long until a failed reading is tried again, in milliseconds, for a draw from 0 to 1. */
-export function retryPause({failures, others, hasRead, usualMilliseconds, applyMilliseconds}: FailedReading, draw: number): number {
+export function pollRetryDelay({failures, others, hasRead, pollIntervalMilliseconds: usualMilliseconds, applyMilliseconds}: FailedReading, draw: number): number {
 	const isTold = hasRead && others >= othersThatTell;
 	const alone = applyMilliseconds * retryPauses.aloneShare;
 	const longest = isTold ? Math.min(retryPauses.longest, Math.max(alone, others * applyMilliseconds * retryPauses.eachOtherShare)) : alone;
--- a/src/policy/sharing/view.ts
+++ b/src/policy/sharing/view.ts
@@ -7,9 +7,9 @@
 };
 
 /** An instance by itself. */
-export const aloneView: FleetView = {links: 0, instances: 1};
+export const singleInstanceView: FleetView = {links: 0, instances: 1};
 
 /** The part of all requests of which an instance knows, its own and its neighbours', 0 to 1. */
-export function seenShare({links, instances}: FleetView): number {
+export function visibleRequestShare({links, instances}: FleetView): number {
 	return Math.min(1, (links + 1) / Math.max(1, instances));
 }
