--- a/src/policy/stragglers/index.ts
+++ b/src/policy/stragglers/index.ts
@@ -24,7 +24,7 @@
 /** The same for an endpoint set aside: one trickled answer, even a short one, shows a recovery. */
 const ejectedMemoryTokens = 10;
 /** A trickled request at most this often. */
-export const trickleMilliseconds = 500;
+export const probeIntervalMilliseconds = 500;
 
 /** A pace counts for so long: four trickled requests. */
 const freshMilliseconds = 2000;
@@ -112,6 +112,6 @@
 }
 
 /** True if the ejected endpoint is due a trickled request: nothing of ours runs there, and the last was long ago. */
-export function trickleIsDue(side: {readonly inFlight: number; readonly lastReservedAt: number}, now: number): boolean {
-	return side.inFlight === 0 && now - side.lastReservedAt >= trickleMilliseconds;
+export function isProbeDue(side: {readonly inFlight: number; readonly lastReservedAt: number}, now: number): boolean {
+	return side.inFlight === 0 && now - side.lastReservedAt >= probeIntervalMilliseconds;
 }
--- a/src/routing/endpoint-directory.ts
+++ b/src/routing/endpoint-directory.ts
@@ -8,8 +8,8 @@
 		| (LogPosition & {readonly type: 'removed'; readonly id: string});
 
 /** How far an endpoint may be used. */
-export const Standing = {ready: 'ready', lastResort: 'last-resort', gone: 'gone'} as const;
-export type Standing = (typeof Standing)[keyof typeof Standing];
+export const EndpointStatus = {ready: 'ready', lastResort: 'last-resort', gone: 'gone'} as const;
+export type EndpointStatus = (typeof EndpointStatus)[keyof typeof EndpointStatus];
 
 /** What is known of one endpoint. Times are the monotonic clock in milliseconds. */
 export type EndpointEntry = {
@@ -19,7 +19,7 @@
 	/** Set once it left or its record went; an incarnation that said it leaves never comes back. */
 	readonly endedAt?: number | undefined;
 	/** Set while the store has come back from a copy that doesn't name it: it counts as registered until then. */
-	readonly trustedUntil?: number | undefined;
+	readonly unconfirmedUntil?: number | undefined;
 };
 
 /** The newest removal of an id, and when it was heard of. */
@@ -99,16 +99,16 @@
 	}
 
 	/** Takes a whole reading of the store, made in an era: ends every endpoint that it no longer names, unless the era is newer than all word of it. */
-	retain(ids: ReadonlySet<string>, era: number, now: number): EndpointDirectory {
+	applySnapshot(ids: ReadonlySet<string>, era: number, now: number): EndpointDirectory {
 		const missing = [...this.entries.values()].filter(({record, endedAt}) => endedAt === undefined && !ids.has(record.id));
 		const ended = missing.filter(({registrations}) => newestPlace(registrations).era >= era);
-		const after = this.apply(ended.map(({record, registrations}): EndpointChange => ({type: 'removed', ...placeOf(registrations), id: record.id})), now);
+		const after = this.apply(ended.map(({record, registrations}): EndpointChange => ({type: 'removed', ...positionOf(registrations), id: record.id})), now);
 		return era > after.era ? new EndpointDirectory({entries: withTrust(after.entries, era, now), removals: after.#removals, era}) : after;
 	}
 
 	/** Those that are used though the store, come back from a copy, doesn't name them. */
-	onTrust(now: number): readonly EndpointEntry[] {
-		return [...this.entries.values()].filter(({endedAt, trustedUntil}) => endedAt === undefined && trustedUntil !== undefined && now < trustedUntil);
+	unconfirmed(now: number): readonly EndpointEntry[] {
+		return [...this.entries.values()].filter(({endedAt, unconfirmedUntil}) => endedAt === undefined && unconfirmedUntil !== undefined && now < unconfirmedUntil);
 	}
 
 	/** Forgets what ended long ago. */
@@ -122,39 +122,39 @@
 }
 
 /** Whether an endpoint may be used now. */
-export function standingOf(entry: EndpointEntry, now: number): Standing {
+export function endpointStatusOf(entry: EndpointEntry, now: number): EndpointStatus {
 	const end = endOf(entry);
 	if (end === undefined || now < end) {
-		return Standing.ready;
+		return EndpointStatus.ready;
 	}
 
 	const resortMilliseconds = entry.record.isLeaving ? leavingLastResortMilliseconds : lastResortMilliseconds;
-	return now - end < resortMilliseconds ? Standing.lastResort : Standing.gone;
+	return now - end < resortMilliseconds ? EndpointStatus.lastResort : EndpointStatus.gone;
 }
 
 /** True if one record is of a younger incarnation than another; one that doesn't tell its start is older than any that does. */
-export function isYounger({bornAt}: EndpointRecord, {bornAt: other}: EndpointRecord): boolean {
+export function isLaterIncarnation({bornAt}: EndpointRecord, {bornAt: other}: EndpointRecord): boolean {
 	return (bornAt ?? -Infinity) > (other ?? -Infinity);
 }
 
 /** The newest place at which an endpoint is known to be registered. */
-export function placeOf(registrations: Registrations): LogPosition {
+export function positionOf(registrations: Registrations): LogPosition {
 	const {era, offset} = newestPlace(registrations);
 	return {era, offset};
 }
 
-function endOf({endedAt, trustedUntil}: EndpointEntry): number | undefined {
-	return endedAt ?? trustedUntil;
+function endOf({endedAt, unconfirmedUntil}: EndpointEntry): number | undefined {
+	return endedAt ?? unconfirmedUntil;
 }
 
 /** What stands after one more record; the same object if it says nothing new. */
 function newer(held: EndpointEntry | undefined, {record, era, offset}: Extract<EndpointChange, {type: 'registered'}>): EndpointEntry {
 	const registered: Registered = {era, offset, revision: record.revision};
-	if (held === undefined || isYounger(record, held.record)) {
+	if (held === undefined || isLaterIncarnation(record, held.record)) {
 		return {record, registrations: [registered]};
 	}
 
-	if (isYounger(held.record, record)) {
+	if (isLaterIncarnation(held.record, record)) {
 		return held;
 	}
 
@@ -182,7 +182,7 @@
 function withTrust(entries: ReadonlyMap<string, EndpointEntry>, era: number, now: number): ReadonlyMap<string, EndpointEntry> {
 	return new Map(Array.from(entries, ([id, entry]) => {
 		const isNamed = newestPlace(entry.registrations).era >= era;
-		const trustedUntil = isNamed ? undefined : entry.trustedUntil ?? now + trustMilliseconds;
-		return [id, trustedUntil === entry.trustedUntil ? entry : {...entry, trustedUntil}];
+		const unconfirmedUntil = isNamed ? undefined : entry.unconfirmedUntil ?? now + trustMilliseconds;
+		return [id, unconfirmedUntil === entry.unconfirmedUntil ? entry : {...entry, unconfirmedUntil}];
 	}));
 }
--- a/src/routing/routing-table.ts
+++ b/src/routing/routing-table.ts
@@ -33,26 +33,26 @@
 };
 
 /** A model engine's figures, where the service is one. */
-export type EngineFigures = {
+export type EngineParameters = {
 	readonly slots: number;
 	/** Tokens that fit into its memory, running requests and cached parts together. */
 	readonly memoryTokens: number;
 	/** Tokens in one event of a stream. */
 	readonly tokensPerEvent: number;
 	/** Absent where engines do not pass kept prompts to each other. */
-	readonly transfer?: TransferFigures | undefined;
+	readonly transfer?: TransferParameters | undefined;
 	/** True if an engine tells which prompt parts it keeps. */
 	readonly listsKept?: boolean | undefined;
 };
 
 /** How engines of a service pass memory to each other. */
-export type TransferFigures = {readonly bytesPerToken: number; readonly megabitsPerSecond: number};
+export type TransferParameters = {readonly bytesPerToken: number; readonly megabitsPerSecond: number};
 
 export type Service = {
 	readonly name: string;
 	/** Connections that one endpoint takes from all callers together. */
 	readonly largestConnections: number;
-	readonly engine?: EngineFigures | undefined;
+	readonly engine?: EngineParameters | undefined;
 };
 
 /** What a caller may send, and how long it may take or stay idle. */
@@ -153,7 +153,7 @@
 	}
 
 	/** True for streams whose pauses must be clearly shorter than those of others at the same service. */
-	isTightest(route: Route, service: string): boolean {
+	isLatencyCritical(route: Route, service: string): boolean {
 		const pauses = this.#pauses.get(service);
 		return pauses !== undefined && route.longestPauseMilliseconds === pauses.shortest && pauses.longest >= pauses.shortest * clearlyLonger;
 	}
@@ -169,7 +169,7 @@
 	}
 
 	/** The shortest pause that any of a service's streams must keep; infinite without any. */
-	tightestPause(service: string): number {
+	strictestPauseMilliseconds(service: string): number {
 		return this.#pauses.get(service)?.shortest ?? Infinity;
 	}
 
@@ -182,7 +182,7 @@
 		const pairsOf = (route: Route): UrgencyPair[] => (route.isPublic || !this.#needsKeys ? [undefined, ...ofWorkspaces] : ofWorkspaces)
 			.map(workspace => ({route: route.urgency, workspace}));
 		const ranks = UrgencyRanks.create(own.flatMap(route => pairsOf(route)));
-		const ofOthers = own.filter(route => !this.isTightest(route, service)).flatMap(route => pairsOf(route)).map(pair => ranks.rank(pair));
+		const ofOthers = own.filter(route => !this.isLatencyCritical(route, service)).flatMap(route => pairsOf(route)).map(pair => ranks.rank(pair));
 		this.#ranks.set(service, ranks);
 		if (ofOthers.length > 0) {
 			this.#urgencies.set(service, {most: Math.min(...ofOthers), least: Math.max(...ofOthers)});
--- a/src/side/crash-watch.ts
+++ b/src/side/crash-watch.ts
@@ -1,7 +1,7 @@
 import {sleep, spawn, wait, type Body} from '../concurrency/index.js';
 import {type EndpointId, type InstanceId} from '../model/index.js';
 import {type QuarantineLedger} from '../platform/index.js';
-import {createCrash} from '../policy/quarantine/index.js';
+import {createCrashRecord} from '../policy/quarantine/index.js';
 
 /** An engine that restarts at once is still caught by the first look; one that dies slowly by the last. */
 const looksMilliseconds: readonly number[] = [0, 40, 80];
@@ -51,7 +51,7 @@
 		for (const milliseconds of looksMilliseconds) {
 			yield * sleep(milliseconds);
 			if (!(yield * wait(isHealthy()))) {
-				ledger.note(createCrash(instance, endpoint, suspects, Date.now()));
+				ledger.note(createCrashRecord(instance, endpoint, suspects, Date.now()));
 				this.#settings.endpointDied();
 				return;
 			}
--- a/src/side/orders/model-keeper.ts
+++ b/src/side/orders/model-keeper.ts
@@ -4,7 +4,7 @@
 import {type EndpointId, type TargetName, type ZoneName} from '../../model/index.js';
 import {type Member, type MembershipClient, type WeightStoreClient} from '../../platform/index.js';
 import {
-	createAssignment, type EngineSite, modelsOfSite, seeSites,
+	createAssignment, type EngineMember, modelsForEndpoint, observeMembers,
 } from '../../policy/assignment/index.js';
 import {type PartLogger} from '../../telemetry/index.js';
 import {type OrderContent, type OrderDesk} from './order-desk.js';
@@ -115,12 +115,12 @@
 
 	* #readMembership(): Body<void> {
 		const members = yield * wait(this.#options.membership.list(this.#abort.signal));
-		this.#assignment = seeSites(this.#assignment, members.flatMap(member => siteOf(member)), performance.now());
+		this.#assignment = observeMembers(this.#assignment, members.flatMap(member => siteOf(member)), performance.now());
 	}
 
 	#wanted(models: readonly ModelEntry[]): readonly ModelEntry[] {
 		const demands = models.map(({name, replicas}) => ({name: name as TargetName, replicas}));
-		const assigned = modelsOfSite(this.#assignment, demands, this.#options.endpoint);
+		const assigned = modelsForEndpoint(this.#assignment, demands, this.#options.endpoint);
 		return models.filter(({name}) => assigned.includes(name as TargetName));
 	}
 
@@ -150,7 +150,7 @@
 	return loaded.some(({name, version}) => name === wanted.name && (version === '' || version === wanted.version));
 }
 
-function siteOf(member: Member): EngineSite[] {
+function siteOf(member: Member): EngineMember[] {
 	if (member.role !== 'side' || member.endpoint === undefined) {
 		return [];
 	}
--- a/src/side/orders/order-desk.ts
+++ b/src/side/orders/order-desk.ts
@@ -141,9 +141,9 @@
 	* #readToEnd(): Body<boolean> {
 		try {
 			for (;;) {
-				const page = yield * wait(this.#settings.log.read(this.#stream, this.#ownership.next));
-				this.#ownership = page.type === 'gone' ? {next: page.first} : foldOwnership(this.#ownership, page.records);
-				if (this.#ownership.next >= page.next) {
+				const page = yield * wait(this.#settings.log.read(this.#stream, this.#ownership.nextOffset));
+				this.#ownership = page.type === 'gone' ? {nextOffset: page.first} : foldOwnership(this.#ownership, page.records);
+				if (this.#ownership.nextOffset >= page.next) {
 					return true;
 				}
 			}
--- a/src/side/suspect-gate.ts
+++ b/src/side/suspect-gate.ts
@@ -1,5 +1,5 @@
 import {type QuarantineLedger} from '../platform/index.js';
-import {createClearing, Suspicion, type Judgement} from '../policy/quarantine/index.js';
+import {createClearedRecord, Suspicion, type FingerprintStatus} from '../policy/quarantine/index.js';
 import {type Reservation} from './reservation.js';
 
 /** What the gate asks of its side. */
@@ -23,7 +23,7 @@
 	readonly #ledger: QuarantineLedger;
 	readonly #owner: SuspectGateOwner;
 	/** The suspect that is in the queue or runs, and what was held against it when it came in. */
-	#current: {readonly reservation: Reservation; readonly judgement: Judgement} | undefined;
+	#current: {readonly reservation: Reservation; readonly judgement: FingerprintStatus} | undefined;
 	#waiting: Reservation[] = [];
 
 	private constructor(ledger: QuarantineLedger, owner: SuspectGateOwner) {
@@ -66,7 +66,7 @@
 		const {judgement} = this.#current;
 		this.#current = undefined;
 		if (ranWhole) {
-			this.#ledger.note(createClearing(reservation.summary.fingerprint, judgement, Date.now()));
+			this.#ledger.note(createClearedRecord(reservation.summary.fingerprint, judgement, Date.now()));
 		}
 
 		this.review([]);
@@ -96,7 +96,7 @@
 		}
 	}
 
-	#arrivedSuspect(reservation: Reservation, judgement: Judgement): void {
+	#arrivedSuspect(reservation: Reservation, judgement: FingerprintStatus): void {
 		if (this.#current) {
 			this.#waiting.push(reservation);
 			return;
--- a/test/adapter/adapter.test.ts
+++ b/test/adapter/adapter.test.ts
@@ -24,7 +24,7 @@
 };
 
 function forward(rawHeaders: readonly string[], resumeAfter?: string): Map<string, string> {
-	const sent = requestCodec.forward({rawHeaders, bodyBytes: 3, endpoint: 'e', workspace: undefined, milliseconds: 70, resumeAfter, fetchFrom: undefined, route: {...route, urgency: 12}});
+	const sent = requestCodec.requestHeaders({rawHeaders, bodyBytes: 3, endpoint: 'e', workspace: undefined, remainingMilliseconds: 70, resumeAfter, fetchFrom: undefined, route: {...route, urgency: 12}});
 	const headers = new Map<string, string>();
 	for (let index = 0; index < sent.length; index += 2) {
 		const name = sent[index]!.toLowerCase();
@@ -73,14 +73,14 @@
 
 tap.test('a success without signature, id or with an encoding is not the worker\'s', async t => {
 	const whole = {'request-id': 'a', 'upstream-signature': 's'};
-	t.ok(requestCodec.readAnswer(200, whole).isGenuine);
-	t.notOk(requestCodec.readAnswer(200, {'request-id': 'a'}).isGenuine);
-	t.notOk(requestCodec.readAnswer(200, {'upstream-signature': 's'}).isGenuine);
-	t.notOk(requestCodec.readAnswer(200, {...whole, 'content-encoding': 'gzip'}).isGenuine);
-	t.match(requestCodec.readAnswer(503, {'not-executed': '1'}), {isNotRun: true, promisesNotRun: false});
-	t.match(requestCodec.readAnswer(503, whole), {isNotRun: false, promisesNotRun: true});
-	t.match(requestCodec.readAnswer(421, {}), {isNotRun: true, isOtherEndpoint: true});
-	t.match(requestCodec.readAnswer(500, whole), {isNotRun: false, promisesNotRun: false});
+	t.ok(requestCodec.readResponse(200, whole).isGenuine);
+	t.notOk(requestCodec.readResponse(200, {'request-id': 'a'}).isGenuine);
+	t.notOk(requestCodec.readResponse(200, {'upstream-signature': 's'}).isGenuine);
+	t.notOk(requestCodec.readResponse(200, {...whole, 'content-encoding': 'gzip'}).isGenuine);
+	t.match(requestCodec.readResponse(503, {'not-executed': '1'}), {isNotRun: true, promisesNotRun: false});
+	t.match(requestCodec.readResponse(503, whole), {isNotRun: false, promisesNotRun: true});
+	t.match(requestCodec.readResponse(421, {}), {isNotRun: true, isMisdirected: true});
+	t.match(requestCodec.readResponse(500, whole), {isNotRun: false, promisesNotRun: false});
 });
 
 tap.test('a desired state becomes a routing table that survives the way between instances', async t => {
@@ -186,9 +186,9 @@
 	store.put('keyed.servers', 'bad', {service: 5});
 	store.put('keyed.servers', 'good', {service: 's', address: '1.2.3.4:5', zone: 'z', slots: 1, state: 'ready', seq: 1});
 	store.put('keyed.op', 'config', {version: 'x'});
-	const endpoints = await endpointFeed(client, logger).readNewest();
+	const endpoints = await endpointFeed(client, logger).readSnapshot();
 	t.match(endpoints.items, [{type: 'registered', record: {id: 'good'}}]);
-	const tables = await routingFeed(client, logger).readNewest();
+	const tables = await routingFeed(client, logger).readSnapshot();
 	t.same(tables.items, []);
 	t.equal(lines.length, 2);
 });
@@ -220,13 +220,13 @@
 	store.put('keyed.servers', 'good', wellFormed);
 	const feeds = [endpointFeed(client, logger), routingFeed(client, logger), instanceFeed(client, logger)] as const;
 	for (const feed of feeds) {
-		const whole = await feed.readNewest();
+		const whole = await feed.readSnapshot();
 		const changes = await feed.readChanges({era: 1, offset: 0}, 0);
 		t.ok(whole.next.offset > 100, `${feed.name} was read to its end`);
 		t.match(changes, {type: 'page', page: {next: whole.next}});
 	}
 
-	const {items} = await feeds[0].readNewest();
+	const {items} = await feeds[0].readSnapshot();
 	t.match(items, [{type: 'registered', record: {id: 'good'}}]);
 	t.ok(lines.length <= 2 * 151, `${lines.length} lines: one for each key of a feed`);
 	const config = {version: 1, routes: [], services: [], limits: {}, tenants: []};
--- a/test/entry/claims.test.ts
+++ b/test/entry/claims.test.ts
@@ -1,7 +1,7 @@
 import tap from 'tap';
 import {v7 as uuidv7} from 'uuid';
 import {FakeLog} from '../../fakes/index.js';
-import {ClaimKeeper, type ClaimKeeperSettings, type ClaimOutcome} from '../../src/entry/claims/index.js';
+import {ClaimManager, type ClaimKeeperSettings, type ClaimOutcome} from '../../src/entry/claims/index.js';
 import {type RequestId, type WorkspaceName} from '../../src/model/index.js';
 import {HttpLogClient, type LogClient} from '../../src/platform/index.js';
 import {keyWindowMilliseconds} from '../../src/policy/claims/index.js';
@@ -12,11 +12,11 @@
 	return HttpLogClient.create({baseUrl: log.url, timeoutMilliseconds: 2000});
 }
 
-function keeperOf(log: LogClient, instance: string, more: Partial<ClaimKeeperSettings> = {}): ClaimKeeper {
-	return ClaimKeeper.create({log, instance, waitMilliseconds: 1500, ...more});
+function keeperOf(log: LogClient, instance: string, more: Partial<ClaimKeeperSettings> = {}): ClaimManager {
+	return ClaimManager.create({log, instance, waitMilliseconds: 1500, ...more});
 }
 
-async function claim(keeper: ClaimKeeper, key: string, requestId: string, fingerprint = 'ticket'): Promise<ClaimOutcome> {
+async function claim(keeper: ClaimManager, key: string, requestId: string, fingerprint = 'ticket'): Promise<ClaimOutcome> {
 	return keeper.claim({workspace, key, fingerprint, requestId: requestId as RequestId});
 }
 
--- a/test/gateway/attempt.test.ts
+++ b/test/gateway/attempt.test.ts
@@ -3,7 +3,7 @@
 import net, {type AddressInfo} from 'node:net';
 import tap from 'tap';
 import {Attempt, type AttemptEvent} from '../../src/gateway/attempt.js';
-import {Channels} from '../../src/gateway/channels.js';
+import {ConnectionPool} from '../../src/gateway/connection-pool.js';
 
 type Answering = (socket: net.Socket) => void;
 
@@ -17,12 +17,12 @@
 	});
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
-	const channels = Channels.create(4);
+	const channels = ConnectionPool.create(4);
 	const events: AttemptEvent[] = [];
 	await new Promise<void>(resolve => {
 		Attempt.start({
 			address: `127.0.0.1:${(server.address() as AddressInfo).port}`,
-			method: 'GET', path: '/', headers: ['Host', 'a.example'], body: undefined, channels,
+			method: 'GET', path: '/', headers: ['Host', 'a.example'], body: undefined, connectionPool: channels,
 			onEvent(event) {
 				events.push(event);
 				if (event.type === 'end' || event.type === 'broken') {
@@ -102,13 +102,13 @@
 	});
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
-	const channels = Channels.create(4);
+	const channels = ConnectionPool.create(4);
 	const bodies: string[] = [];
 	for (let turn = 0; turn < 2; turn++) {
 		await new Promise<void>(resolve => {
 			Attempt.start({
 				address: `127.0.0.1:${(server.address() as AddressInfo).port}`,
-				method: 'GET', path: '/', headers: ['Host', 'a.example'], body: undefined, channels,
+				method: 'GET', path: '/', headers: ['Host', 'a.example'], body: undefined, connectionPool: channels,
 				onEvent(event) {
 					if (event.type === 'data') {
 						bodies.push(Buffer.from(event.bytes).toString());
@@ -139,13 +139,13 @@
 	});
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
-	const channels = Channels.create(4);
+	const channels = ConnectionPool.create(4);
 	for (let turn = 0; turn < 3; turn++) {
 		const events = await new Promise<AttemptEvent[]>(resolve => {
 			const seen: AttemptEvent[] = [];
 			Attempt.start({
 				address: `127.0.0.1:${(server.address() as AddressInfo).port}`,
-				method: 'GET', path: '/', headers: ['Host', 'a.example'], body: undefined, channels,
+				method: 'GET', path: '/', headers: ['Host', 'a.example'], body: undefined, connectionPool: channels,
 				onEvent(event) {
 					seen.push(event);
 					if (event.type === 'end') {
--- a/test/gateway/dispatcher.test.ts
+++ b/test/gateway/dispatcher.test.ts
@@ -1,5 +1,5 @@
 import tap from 'tap';
-import {Beliefs, type Decision, Dispatcher, type Ticket} from '../../src/gateway/index.js';
+import {RoutingState, type Decision, Dispatcher, type PlacementRequest} from '../../src/gateway/index.js';
 import {type InstanceId, type ZoneName} from '../../src/model/index.js';
 import {defaultTuning} from '../../src/policy/dispatch/index.js';
 import {type EndpointRecord} from '../../src/routing/index.js';
@@ -12,25 +12,25 @@
 	return {id, service: 'models', address: '127.0.0.1:1', zone, isLeaving: false, slots: 4, revision: 1};
 }
 
-function createDispatcher(endpoints: readonly EndpointRecord[], beliefs = Beliefs.create(quiet)): Dispatcher {
-	beliefs.offerTable({
+function createDispatcher(endpoints: readonly EndpointRecord[], beliefs = RoutingState.create(quiet)): Dispatcher {
+	beliefs.applyTable({
 		version: 1, routes: [], services: [{name: 'models', largestConnections: 10, engine: {slots: 4, memoryTokens: 100_000, tokensPerEvent: 1}}],
 		limits: {headerBytes: 1, bodyBytes: 1, headerMilliseconds: 1, idleMilliseconds: 1},
 	}, 'store');
-	beliefs.offerEndpoints(endpoints.map((one, offset) => ({type: 'registered', era: 0, offset, record: one})), 'store', performance.now());
+	beliefs.applyEndpointChanges(endpoints.map((one, offset) => ({type: 'registered', era: 0, offset, record: one})), 'store', performance.now());
 	return Dispatcher.create({
-		incarnation: 'a' as InstanceId, zone, beliefs, logger: quiet, allowance: {ratio: 0.1, slack: 10, windowMilliseconds: 10_000}, random: () => 0.5, tuning: defaultTuning, onLoad: () => undefined,
+		incarnation: 'a' as InstanceId, zone, routingState: beliefs, logger: quiet, allowance: {ratio: 0.1, slack: 10, windowMilliseconds: 10_000}, random: () => 0.5, tuning: defaultTuning, onLoad: () => undefined,
 	});
 }
 
 function submit(dispatcher: Dispatcher, id: string, excluded: ReadonlySet<string> = new Set()): Decision[] {
 	const decisions: Decision[] = [];
 	const now = performance.now();
-	const ticket: Ticket = {
+	const ticket: PlacementRequest = {
 		id, workspace: 'w', service: 'models', urgency: {route: 1, workspace: undefined}, work: 2000, arrivedAt: now, inTimeUntil: now + 300, lastStartAt: now + 2000, excluded, isIdempotent: true,
 		demand: {
-			service: 'models', urgency: 1, urgencies: {most: 1, least: 2}, targetMilliseconds: 400, parts: [{id: 1, tokens: 2000}], isTight: false,
-			pauseMilliseconds: 300, tightestPauseMilliseconds: 200, waitedMilliseconds: 0, elapsedMilliseconds: 0, isOutranked: false,
+			service: 'models', urgency: 1, urgencies: {most: 1, least: 2}, targetMilliseconds: 400, parts: [{id: 1, tokens: 2000}], isLatencyCritical: false,
+			maxPauseMilliseconds: 300, strictestPauseMilliseconds: 200, waitedMilliseconds: 0, elapsedMilliseconds: 0, isOutranked: false,
 		},
 		onDecision(decision) {
 			decisions.push(decision);
@@ -47,7 +47,7 @@
 	const [sick, well] = [record('sick'), record('well')];
 	using dispatcher = createDispatcher([sick, well]);
 	for (let number = 0; number < 4; number++) {
-		dispatcher.takeLoad({type: 'placed', run: {id: `b/${number}`, owner: 'b', endpoint: 'sick', service: 'models', unreadTokens: 9000, isTight: false, parts: []}});
+		dispatcher.applyLoad({type: 'placed', run: {id: `b/${number}`, owner: 'b', endpoint: 'sick', service: 'models', prefillTokens: 9000, isLatencyCritical: false, parts: []}});
 	}
 
 	dispatcher.endpoints.report(sick, 'unreachable');
@@ -77,9 +77,9 @@
 // that had failed at the only other one was sent there as a last resort, over two seconds after the
 // endpoint had said so. A last resort is for a service of which no endpoint is known any more.
 tap.test('a leaving endpoint is no resort while the service has others', async t => {
-	const beliefs = Beliefs.create(quiet);
+	const beliefs = RoutingState.create(quiet);
 	using dispatcher = createDispatcher([record('stays'), record('leaves')], beliefs);
-	beliefs.offerEndpoints([{type: 'registered', era: 0, offset: 5, record: {...record('leaves'), isLeaving: true, revision: 2}}], 'store', performance.now());
+	beliefs.applyEndpointChanges([{type: 'registered', era: 0, offset: 5, record: {...record('leaves'), isLeaving: true, revision: 2}}], 'store', performance.now());
 	t.match(submit(dispatcher, 'again', new Set(['stays'])), [{type: 'refused', reason: 'no-endpoint'}]);
 	t.match(submit(dispatcher, 'first'), [{type: 'placed', record: {id: 'stays'}}]);
 });
@@ -87,9 +87,9 @@
 // The store drops all endpoints of a service that could not reach it, though they serve: callers are served
 // for a while longer. One that said itself that it leaves is used for a short moment only.
 tap.test('endpoints that were removed all at once are a last resort', async t => {
-	const beliefs = Beliefs.create(quiet);
+	const beliefs = RoutingState.create(quiet);
 	using dispatcher = createDispatcher([record('one'), record('two')], beliefs);
-	beliefs.offerEndpoints([{type: 'removed', era: 0, offset: 5, id: 'one'}, {type: 'removed', era: 0, offset: 6, id: 'two'}], 'store', performance.now());
+	beliefs.applyEndpointChanges([{type: 'removed', era: 0, offset: 5, id: 'one'}, {type: 'removed', era: 0, offset: 6, id: 'two'}], 'store', performance.now());
 	t.match(submit(dispatcher, 'r'), [{type: 'placed'}]);
 });
 
@@ -98,7 +98,7 @@
 tap.test('a refusal says what it was judged by', async t => {
 	using dispatcher = createDispatcher([record('only')]);
 	for (let number = 0; number < 3; number++) {
-		dispatcher.takeLoad({type: 'placed', run: {id: `b/${number}`, owner: 'b', endpoint: 'only', service: 'models', unreadTokens: 90_000, isTight: false, parts: []}});
+		dispatcher.applyLoad({type: 'placed', run: {id: `b/${number}`, owner: 'b', endpoint: 'only', service: 'models', prefillTokens: 90_000, isLatencyCritical: false, parts: []}});
 	}
 
 	const [decision] = submit(dispatcher, 'r');
@@ -112,19 +112,19 @@
 	using time = VirtualTime.install();
 	using dispatcher = createDispatcher([record('one')]);
 	for (let number = 0; number < 4; number++) {
-		dispatcher.takeLoad({type: 'placed', run: {id: `b/${number}`, owner: 'b', endpoint: 'one', service: 'models', unreadTokens: 10, isTight: false, parts: []}});
+		dispatcher.applyLoad({type: 'placed', run: {id: `b/${number}`, owner: 'b', endpoint: 'one', service: 'models', prefillTokens: 10, isLatencyCritical: false, parts: []}});
 	}
 
 	const first = submit(dispatcher, 'first');
 	time.runFor(30);
 	let looks = 0;
-	const load = dispatcher.book.load.bind(dispatcher.book);
-	dispatcher.book.load = (endpoint, now) => {
+	const load = dispatcher.loadTracker.load.bind(dispatcher.loadTracker);
+	dispatcher.loadTracker.load = (endpoint, now) => {
 		looks += 1;
 		return load(endpoint, now);
 	};
 
-	dispatcher.takeLoad({type: 'ended', id: 'b/0'});
+	dispatcher.applyLoad({type: 'ended', id: 'b/0'});
 	const second = submit(dispatcher, 'second');
 	t.equal(looks, 0, 'the second has looked at nothing');
 	t.same([first, second], [[], []]);
--- a/test/gateway/path.test.ts
+++ b/test/gateway/path.test.ts
@@ -224,7 +224,7 @@
 	world.store.fault = () => 'refuse';
 	// What the store tells one gateway in a moment in which it serves only that one.
 	const {version, ...rest} = first.beliefs.tableInput!;
-	first.beliefs.offerTable({...rest, version: version + 1, workspaces: []}, 'store');
+	first.beliefs.applyTable({...rest, version: version + 1, workspaces: []}, 'store');
 	await eventually(() => second.beliefs.table?.version === version + 1);
 	t.equal(await world.statusOf({key: 'key-a'}, second), 401);
 });
--- a/test/gateway/peers.test.ts
+++ b/test/gateway/peers.test.ts
@@ -1,21 +1,21 @@
 import process from 'node:process';
 import tap from 'tap';
 import {type ZoneName} from '../../src/model/index.js';
-import {Beliefs, greetingOf, PeerRoster, Peers} from '../../src/gateway/index.js';
+import {RoutingState, initialMessages, PeerRoster, Peers} from '../../src/gateway/index.js';
 import {type RoutingTableInput} from '../../src/routing/index.js';
 import {dial, protocolVersion} from '../../src/wire/index.js';
-import {LoadBook, type LoadEvent} from '../../src/policy/dispatch/index.js';
+import {LoadTracker, type LoadEvent} from '../../src/policy/dispatch/index.js';
 
 const quiet = {debug: () => undefined, info: () => undefined, warn: () => undefined, error: () => undefined};
 
-type Made = {readonly peers: Peers; readonly events: LoadEvent[]; readonly beliefs: Beliefs};
+type Made = {readonly peers: Peers; readonly events: LoadEvent[]; readonly beliefs: RoutingState};
 
 async function createPeers(instance: string, {port, seeds}: {port: number; seeds: readonly string[]}): Promise<Made> {
 	const events: LoadEvent[] = [];
-	const beliefs = Beliefs.create(quiet);
+	const beliefs = RoutingState.create(quiet);
 	const peers = await Peers.create({
-		instance, zone: 'zone-a' as ZoneName, incarnation: `${instance}-first`, host: '127.0.0.1', port, security: {type: 'plaintext'}, seeds, beliefs, logger: quiet,
-		onKept: () => undefined, onBehind: () => undefined,
+		instance, zone: 'zone-a' as ZoneName, incarnation: `${instance}-first`, host: '127.0.0.1', port, security: {type: 'plaintext'}, seeds, routingState: beliefs, logger: quiet,
+		onPromptCache: () => undefined, onStaleTable: () => undefined,
 		onLoad(event) {
 			events.push(event);
 		},
@@ -40,19 +40,19 @@
 	const port = 21_700 + (process.pid % 1000);
 	const stays = await createPeers('stays', {port, seeds: []});
 	const dies = await createPeers('dies', {port: port + 1000, seeds: [`127.0.0.1:${port}`]});
-	const book = LoadBook.create();
+	const book = LoadTracker.create();
 	await until(() => dies.peers.count === 1);
-	dies.peers.tellLoad({type: 'placed', run: {id: 'dies-first/1', owner: 'dies-first', endpoint: 'e', service: 'models', unreadTokens: 9000, isTight: true, parts: [{id: 1, tokens: 9000}]}});
+	dies.peers.broadcastLoad({type: 'placed', run: {id: 'dies-first/1', owner: 'dies-first', endpoint: 'e', service: 'models', prefillTokens: 9000, isLatencyCritical: true, parts: [{id: 1, tokens: 9000}]}});
 	await until(() => stays.events.length === 1);
 	book.step(stays.events[0]!, 0);
-	t.match(book.load('e', 0), {running: 1, tightRuns: 1});
+	t.match(book.load('e', 0), {running: 1, latencyCriticalRuns: 1});
 	await dies.peers[Symbol.asyncDispose]();
 	await until(() => stays.events.length > 1);
 	for (const event of stays.events.slice(1)) {
 		book.step(event, 10);
 	}
 
-	t.match(book.load('e', 10), {running: 0, tightRuns: 0, backlogMilliseconds: 0});
+	t.match(book.load('e', 10), {running: 0, latencyCriticalRuns: 0, backlogMilliseconds: 0});
 	await stays.peers[Symbol.asyncDispose]();
 });
 
@@ -75,7 +75,7 @@
 	await until(() => one.peers.count === 1);
 	const before = connection.counts.receivedBytes;
 	for (let version = 1; version <= 10; version++) {
-		one.beliefs.offerTable(table(version), 'store');
+		one.beliefs.applyTable(table(version), 'store');
 	}
 
 	await until(() => connection.counts.receivedMessages >= 12);
@@ -91,9 +91,9 @@
 	const one = await createPeers('one', {port, seeds: []});
 	const two = await createPeers('two', {port: port + 1000, seeds: [`127.0.0.1:${port}`]});
 	await until(() => two.peers.count === 1);
-	one.beliefs.offerTable(table(7), 'store');
+	one.beliefs.applyTable(table(7), 'store');
 	await until(() => two.beliefs.table?.version === 7);
-	one.beliefs.offerTable(table(9), 'store');
+	one.beliefs.applyTable(table(9), 'store');
 	await until(() => two.beliefs.table?.version === 9);
 	t.pass();
 	await two.peers[Symbol.asyncDispose]();
@@ -110,8 +110,8 @@
 	});
 	t.equal(one.peers.count, 1);
 	t.equal(two.peers.count, 1);
-	one.peers.tellLoad({type: 'ended', id: 'one-first/1'});
-	two.peers.tellLoad({type: 'ended', id: 'two-first/1'});
+	one.peers.broadcastLoad({type: 'ended', id: 'one-first/1'});
+	two.peers.broadcastLoad({type: 'ended', id: 'two-first/1'});
 	await until(() => one.events.some(({type}) => type === 'ended') && two.events.some(({type}) => type === 'ended'));
 	t.notOk([...one.events, ...two.events].some(({type}) => type === 'owner-lost'), 'nobody takes the other for lost');
 	await one.peers[Symbol.asyncDispose]();
@@ -136,10 +136,10 @@
 
 // Guards against lists of endpoints that say what the peer has just read itself, while callers come back.
 tap.test('who has read the endpoints lately is told only what has ended since', async t => {
-	const beliefs = Beliefs.create(quiet);
+	const beliefs = RoutingState.create(quiet);
 	const record = (id: string, isLeaving: boolean) => ({id, service: 's', address: '1.2.3.4:5', zone: 'z' as ZoneName, slots: 1, isLeaving, revision: 1});
-	beliefs.offerEndpoints([{type: 'registered', era: 1, offset: 1, record: record('stays', false)}, {type: 'registered', era: 1, offset: 2, record: record('leaves', true)}], 'store', 0);
-	const told = (knowsEndpoints: boolean, now: number): string[] => greetingOf(beliefs, {knowsEndpoints, now}).flatMap(message => message.type === 'endpoints' ? message.changes.map(change => change.type === 'registered' ? change.record.id : change.id) : []);
+	beliefs.applyEndpointChanges([{type: 'registered', era: 1, offset: 1, record: record('stays', false)}, {type: 'registered', era: 1, offset: 2, record: record('leaves', true)}], 'store', 0);
+	const told = (knowsEndpoints: boolean, now: number): string[] => initialMessages(beliefs, {knowsEndpoints, now}).flatMap(message => message.type === 'endpoints' ? message.changes.map(change => change.type === 'registered' ? change.record.id : change.id) : []);
 	t.same(told(false, 10), ['stays', 'leaves']);
 	t.same(told(true, 10), ['leaves']);
 	t.same(told(true, 60_000), []);
@@ -149,18 +149,18 @@
 	const own = {name: 'm', zone: 'zone-a' as ZoneName};
 	const roster = PeerRoster.create(own);
 	const peer = (instance: string) => ({instance, address: `${instance}:1`, zone: own.zone});
-	roster.know([peer('a')], true);
-	roster.know([peer('b'), peer('z')], false);
-	t.same(roster.due(new Set(), [], 0).toSorted(), ['a:1', 'z:1'], 'the smaller name dials, but who comes later dials who was there');
-	t.same(roster.due(new Set(['a', 'z']), ['seed:1'], 0), [], 'seeds only while nobody is linked');
+	roster.addPeers([peer('a')], true);
+	roster.addPeers([peer('b'), peer('z')], false);
+	t.same(roster.addressesToDial(new Set(), [], 0).toSorted(), ['a:1', 'z:1'], 'the smaller name dials, but who comes later dials who was there');
+	t.same(roster.addressesToDial(new Set(['a', 'z']), ['seed:1'], 0), [], 'seeds only while nobody is linked');
 	for (let now = 0, tries = 0; tries < 6; tries++) {
-		now += roster.tried('z:1', now);
+		now += roster.recordDial('z:1', now);
 	}
 
-	t.equal(roster.reachable, 2, 'z is taken for gone');
-	t.same(roster.due(new Set(['a']), [], 1e6), ['z:1'], 'and tried again all the same');
-	roster.reached('z:1');
-	t.equal(roster.reachable, 3);
-	roster.forget('z');
-	t.same(roster.names, ['a', 'b']);
+	t.equal(roster.reachableCount, 2, 'z is taken for gone');
+	t.same(roster.addressesToDial(new Set(['a']), [], 1e6), ['z:1'], 'and tried again all the same');
+	roster.recordConnected('z:1');
+	t.equal(roster.reachableCount, 3);
+	roster.removePeer('z');
+	t.same(roster.instanceNames, ['a', 'b']);
 });
--- a/test/gateway/stop.test.ts
+++ b/test/gateway/stop.test.ts
@@ -1,7 +1,7 @@
 import {once} from 'node:events';
 import net from 'node:net';
 import tap from 'tap';
-import {openMilliseconds} from '../../src/gateway/index.js';
+import {drainListenMilliseconds} from '../../src/gateway/index.js';
 import {eventually, World} from './world.js';
 
 /** The balancer asks each second and takes an instance out after two misses; an answer takes up to this. */
@@ -15,8 +15,8 @@
 // lasts four seconds; the stop's end cut it in the middle. The port has to stay open until the balancer
 // sends nobody any more, and no longer than what is taken can still end.
 tap.test('a stopping instance takes requests until the balancer knows, and none that it would cut', async t => {
-	t.ok(openMilliseconds >= balancerMilliseconds + answerMilliseconds);
-	t.ok(openMilliseconds + timerMilliseconds < lastStartMilliseconds);
+	t.ok(drainListenMilliseconds >= balancerMilliseconds + answerMilliseconds);
+	t.ok(drainListenMilliseconds + timerMilliseconds < lastStartMilliseconds);
 });
 
 function textOf(id: string): string {
--- a/test/gateway/store-copy.test.ts
+++ b/test/gateway/store-copy.test.ts
@@ -2,7 +2,7 @@
 import {FakePath} from '../../fakes/network-path.js';
 import {desiredState} from '../../fakes/platform-state.js';
 import {FakePlatformWorker} from '../../fakes/platform-worker.js';
-import {standingOf, Standing} from '../../src/routing/index.js';
+import {endpointStatusOf, EndpointStatus} from '../../src/routing/index.js';
 import {eventually, World} from './world.js';
 
 const tenants = (withB: boolean) => [{name: 'studio-a', apiKeys: ['key-a']}, {name: 'studio-b', apiKeys: withB ? ['key-b'] : []}];
@@ -44,16 +44,16 @@
 
 	const gateway = await world.startGateway();
 	t.equal(await world.statusOf(), 200);
-	const standing = (): Standing => standingOf(gateway.beliefs.directory.entries.get('late')!, performance.now());
+	const standing = (): EndpointStatus => endpointStatusOf(gateway.beliefs.directory.entries.get('late')!, performance.now());
 	const empty = {...copy, topics: new Map([...copy.topics].map(([name, {first}]) => [name, name === 'keyed.servers' ? {records: [], first} : copy.topics.get(name)!]))};
 	world.store.comeBackFrom(empty);
 	await eventually(() => world.lines.some(({msg}) => msg === 'Beliefs: Endpoints of a newer era.' || msg === 'Store: The store came back from a copy.'));
 	await eventually(() => gateway.beliefs.directory.era === 2);
-	t.equal(standing(), Standing.ready);
+	t.equal(standing(), EndpointStatus.ready);
 	t.equal(await world.statusOf(), 200, 'the only endpoint of the service is not in the copy');
 	world.store.put('keyed.servers', 'late', late.beat());
-	await eventually(() => gateway.beliefs.directory.onTrust(performance.now()).every(({record}) => record.id !== 'late'));
-	t.equal(standing(), Standing.ready);
+	await eventually(() => gateway.beliefs.directory.unconfirmed(performance.now()).every(({record}) => record.id !== 'late'));
+	t.equal(standing(), EndpointStatus.ready);
 	t.equal(await world.statusOf(), 200);
 });
 
@@ -80,7 +80,7 @@
 	path.cut();
 	world.store.comeBackFrom(copy);
 	await eventually(() => first.beliefs.directory.era === 2 && second.beliefs.directory.era === 2);
-	t.equal(second.beliefs.directory.onTrust(performance.now()).length, 0, 'the peer named all of them again');
+	t.equal(second.beliefs.directory.unconfirmed(performance.now()).length, 0, 'the peer named all of them again');
 	t.equal(await world.statusOf(undefined, second), 200);
 });
 
--- a/test/gateway/told-waiting.test.ts
+++ b/test/gateway/told-waiting.test.ts
@@ -1,7 +1,7 @@
 import tap from 'tap';
-import {Beliefs, Dispatcher, type Ticket} from '../../src/gateway/index.js';
+import {RoutingState, Dispatcher, type PlacementRequest} from '../../src/gateway/index.js';
 import {type InstanceId, type ZoneName} from '../../src/model/index.js';
-import {defaultTuning, type LineEvent, type LoadEvent} from '../../src/policy/dispatch/index.js';
+import {defaultTuning, type QueueReport, type LoadEvent} from '../../src/policy/dispatch/index.js';
 import {VirtualTime} from './virtual-time.js';
 
 const quiet = {debug: () => undefined, info: () => undefined, warn: () => undefined, error: () => undefined};
@@ -21,28 +21,28 @@
 	dispatcher.submit(ticket);
 	time.runFor(20);
 	t.same(linesOf(told), [], 'it waits for the engine that holds its beginning, while another one is free');
-	t.not(ticket.passedOverAt, undefined, 'it has passed over that one');
+	t.not(ticket.deferredAt, undefined, 'it has passed over that one');
 
 	place(dispatcher, 'other', 4, 9000);
 	time.runFor(150);
 	t.match(linesOf(told), [{service: 'models', urgencies: [{route: 1}]}], 'now it waits for any');
 });
 
-function linesOf(told: readonly LoadEvent[]): LineEvent[] {
+function linesOf(told: readonly LoadEvent[]): QueueReport[] {
 	return told.filter(event => event.type === 'waiting');
 }
 
 /** Two engines of four slots; one of them holds a beginning. */
 function createDispatcher(told: LoadEvent[]): Dispatcher {
-	const beliefs = Beliefs.create(quiet);
-	beliefs.offerTable({
+	const beliefs = RoutingState.create(quiet);
+	beliefs.applyTable({
 		version: 1, routes: [], services: [{name: 'models', largestConnections: 10, engine: {slots: 4, memoryTokens: 500_000, tokensPerEvent: 1}}],
 		limits: {headerBytes: 1, bodyBytes: 1, headerMilliseconds: 1, idleMilliseconds: 1},
 	}, 'store');
 	const records = ['holder', 'other'].map(id => ({id, service: 'models', address: '127.0.0.1:1', zone, isLeaving: false, slots: 4, revision: 1}));
-	beliefs.offerEndpoints(records.map((record, offset) => ({type: 'registered', era: 0, offset, record})), 'store', performance.now());
+	beliefs.applyEndpointChanges(records.map((record, offset) => ({type: 'registered', era: 0, offset, record})), 'store', performance.now());
 	const dispatcher = Dispatcher.create({
-		incarnation: 'a' as InstanceId, zone, beliefs, logger: quiet, allowance: {ratio: 0.1, slack: 10, windowMilliseconds: 10_000}, random: () => 0, tuning: defaultTuning,
+		incarnation: 'a' as InstanceId, zone, routingState: beliefs, logger: quiet, allowance: {ratio: 0.1, slack: 10, windowMilliseconds: 10_000}, random: () => 0, tuning: defaultTuning,
 		onLoad(event) {
 			told.push(event);
 		},
@@ -52,19 +52,19 @@
 }
 
 /** Another instance sends so many prompts there, all with the shared beginning at the engine that holds it. */
-function place(dispatcher: Dispatcher, endpoint: string, count: number, unreadTokens: number): void {
+function place(dispatcher: Dispatcher, endpoint: string, count: number, prefillTokens: number): void {
 	for (let number = 0; number < count; number++) {
-		const parts = endpoint === 'holder' ? [shared] : [{id: 100 + number, tokens: unreadTokens}];
-		dispatcher.takeLoad({type: 'placed', run: {id: `b/${endpoint}${number}`, owner: 'b', endpoint, service: 'models', unreadTokens, isTight: false, parts}});
+		const parts = endpoint === 'holder' ? [shared] : [{id: 100 + number, tokens: prefillTokens}];
+		dispatcher.applyLoad({type: 'placed', run: {id: `b/${endpoint}${number}`, owner: 'b', endpoint, service: 'models', prefillTokens, isLatencyCritical: false, parts}});
 	}
 }
 
-function confirmation(now: number): Ticket {
+function confirmation(now: number): PlacementRequest {
 	return {
 		id: 'confirmation', workspace: 'w', service: 'models', urgency: {route: 1, workspace: undefined}, work: 6500, arrivedAt: now, inTimeUntil: now + 3000, lastStartAt: now + 5000, excluded: new Set(), isIdempotent: true,
 		demand: {
-			service: 'models', urgency: 1, urgencies: {most: 1, least: 2}, targetMilliseconds: 4000, parts: [shared, {id: 2, tokens: 500}], isTight: false,
-			pauseMilliseconds: 300, tightestPauseMilliseconds: 200, waitedMilliseconds: 0, elapsedMilliseconds: 0, isOutranked: false,
+			service: 'models', urgency: 1, urgencies: {most: 1, least: 2}, targetMilliseconds: 4000, parts: [shared, {id: 2, tokens: 500}], isLatencyCritical: false,
+			maxPauseMilliseconds: 300, strictestPauseMilliseconds: 200, waitedMilliseconds: 0, elapsedMilliseconds: 0, isOutranked: false,
 		},
 		onDecision: () => undefined,
 	};
--- a/test/gateway/virtual-fleet.ts
+++ b/test/gateway/virtual-fleet.ts
@@ -1,7 +1,7 @@
 import {createRandom, type Random} from '../../bench/harness/random.js';
-import {Beliefs, type Decision, demandOf, Dispatcher, ticketOf} from '../../src/gateway/index.js';
+import {RoutingState, type Decision, demandOf, Dispatcher, placementRequestOf} from '../../src/gateway/index.js';
 import {type InstanceId, type WorkspaceName, type ZoneName} from '../../src/model/index.js';
-import {defaultTuning, type LoadEvent, type PromptPart, reactionMilliseconds} from '../../src/policy/dispatch/index.js';
+import {defaultTuning, type LoadEvent, type PromptPart, propagationMilliseconds} from '../../src/policy/dispatch/index.js';
 import {type EndpointRecord, type Route, RouteKind, type RoutingTable, type RoutingTableInput, type Workspace} from '../../src/routing/index.js';
 import {requestCodec} from '../../platform/request-codec.js';
 import {type Processor, type VirtualTime} from './virtual-time.js';
@@ -71,7 +71,7 @@
 /** What a prompt costs an engine beside its reading. */
 const overheadMilliseconds = 1;
 
-type Run = {readonly unreadTokens: number; readonly urgency: number; readonly answerMilliseconds: number; readonly onFirstEvent: () => void; readonly onEnd: () => void};
+type Run = {readonly prefillTokens: number; readonly urgency: number; readonly answerMilliseconds: number; readonly onFirstEvent: () => void; readonly onEnd: () => void};
 
 /** Admits so many at once, the most urgent first, and reads the prompts of those admitted one after the other. */
 class Engine {
@@ -108,7 +108,7 @@
 
 		const {time, tokensPerMillisecond} = this.options;
 		this.#isReading = true;
-		time.after((run.unreadTokens / tokensPerMillisecond) + overheadMilliseconds, () => {
+		time.after((run.prefillTokens / tokensPerMillisecond) + overheadMilliseconds, () => {
 			this.#isReading = false;
 			run.onFirstEvent();
 			time.after(run.answerMilliseconds, () => {
@@ -131,7 +131,7 @@
 	readonly dispatchers: readonly Dispatcher[];
 	readonly #options: FleetOptions;
 	readonly #random: Random;
-	readonly #beliefs: readonly Beliefs[];
+	readonly #beliefs: readonly RoutingState[];
 	readonly #engines = new Map<string, Engine>();
 	readonly #processors: readonly Processor[];
 	readonly #costs: Costs;
@@ -148,11 +148,11 @@
 			this.#engines.set(id, new Engine(options));
 		}
 
-		this.#beliefs = Array.from({length: options.instances}, () => Beliefs.create(quiet));
+		this.#beliefs = Array.from({length: options.instances}, () => RoutingState.create(quiet));
 		this.dispatchers = this.#beliefs.map((beliefs, number) => {
-			beliefs.offerEndpoints(records.map((record, offset) => ({type: 'registered', era: 0, offset, record})), 'store', performance.now());
+			beliefs.applyEndpointChanges(records.map((record, offset) => ({type: 'registered', era: 0, offset, record})), 'store', performance.now());
 			const dispatcher = Dispatcher.create({
-				incarnation: `i${number}` as InstanceId, zone, beliefs, logger: quiet, allowance: {ratio: 0.1, slack: 10, windowMilliseconds: 10_000},
+				incarnation: `i${number}` as InstanceId, zone, routingState: beliefs, logger: quiet, allowance: {ratio: 0.1, slack: 10, windowMilliseconds: 10_000},
 				random: () => this.#random.uniform(), tuning: defaultTuning,
 				onLoad: event => {
 					this.#tell(number, event);
@@ -181,7 +181,7 @@
 			limits: {headerBytes: 1, bodyBytes: 1, headerMilliseconds: 1, idleMilliseconds: 1},
 		};
 		for (const beliefs of this.#beliefs) {
-			beliefs.offerTable(table, 'store');
+			beliefs.applyTable(table, 'store');
 		}
 	}
 
@@ -236,7 +236,7 @@
 		const facts = {id: String(number), deadlineMilliseconds: route.timeoutMilliseconds, key: undefined, parts: this.#parts(kind, number), outputTokens: 20};
 		const demand = demandOf({facts, table, route, service, workspace, arrivedAt: asked.at});
 		dispatcher.submit({
-			...ticketOf({facts, table, route, service, workspace, arrivedAt: asked.at}, demand),
+			...placementRequestOf({facts, table, route, service, workspace, arrivedAt: asked.at}, demand),
 			id: facts.id,
 			lastStartAt: asked.at + Math.min(route.timeoutMilliseconds - leastMilliseconds, requestCodec.patienceMilliseconds(route)),
 			excluded: new Set(),
@@ -253,20 +253,20 @@
 
 	#send(asked: Asked, {events = 1, answerMilliseconds}: Kind, {dispatcher, decision, urgency}: {dispatcher: Dispatcher; decision: Extract<Decision, {type: 'placed'}>; urgency: number}): void {
 		const {time} = this.#options;
-		const {runId, unreadTokens, record} = decision;
+		const {runId, prefillTokens, record} = decision;
 		time.spend(this.#costs.sending);
 		const run: Run = {
-			unreadTokens, urgency, answerMilliseconds,
+			prefillTokens, urgency, answerMilliseconds,
 			onFirstEvent: () => {
 				asked.firstEventAt = time.now;
 				this.#onProcessor(asked.instance, this.#costs.event, () => {
-					dispatcher.firstEvent(runId);
+					dispatcher.recordFirstEvent(runId);
 				});
 				this.#passOn(asked.instance, events - 1, answerMilliseconds / events);
 			},
 			onEnd: () => {
 				this.#onProcessor(asked.instance, 0, () => {
-					dispatcher.ended(runId);
+					dispatcher.recordEnd(runId);
 				});
 			},
 		};
@@ -304,7 +304,7 @@
 		});
 	}
 
-	#chargeLooks({book}: Dispatcher): void {
+	#chargeLooks({loadTracker: book}: Dispatcher): void {
 		const {time} = this.#options;
 		const load = book.load.bind(book);
 		book.load = (endpoint, now) => {
@@ -313,7 +313,7 @@
 		};
 	}
 
-	#workspace(beliefs: Beliefs, number: number): Workspace | undefined {
+	#workspace(beliefs: RoutingState, number: number): Workspace | undefined {
 		const workspaces = beliefs.tableInput?.workspaces ?? [];
 		return workspaces[number % Math.max(1, workspaces.length)];
 	}
@@ -324,11 +324,11 @@
 	}
 
 	#tell(sender: number, event: LoadEvent): void {
-		this.#options.time.after(reactionMilliseconds(this.#options.instances - 1), () => {
+		this.#options.time.after(propagationMilliseconds(this.#options.instances - 1), () => {
 			for (const [number, dispatcher] of this.dispatchers.entries()) {
 				if (number !== sender) {
 					this.#onProcessor(number, this.#costs.load, () => {
-						dispatcher.takeLoad(event);
+						dispatcher.applyLoad(event);
 					});
 				}
 			}
--- a/test/gateway/virtual-followers.ts
+++ b/test/gateway/virtual-followers.ts
@@ -1,6 +1,6 @@
 import {createRandom} from '../../bench/harness/random.js';
-import {Beliefs, type FollowedFeeds, followFeeds} from '../../src/gateway/index.js';
-import {TablePull} from '../../src/gateway/table-pull.js';
+import {RoutingState, type FeedFollowers, followFeeds} from '../../src/gateway/index.js';
+import {RoutingTablePuller} from '../../src/gateway/routing-table-puller.js';
 import {type ZoneName} from '../../src/model/index.js';
 import {type Member, neighboursOf} from '../../src/policy/sharing/index.js';
 import {VirtualClient, VirtualStore} from './virtual-store.js';
@@ -21,7 +21,7 @@
 	readonly arrives?: (from: number, to: number) => boolean;
 };
 
-type Follower = {readonly name: string; readonly beliefs: Beliefs; readonly feeds: FollowedFeeds; readonly pull: TablePull; readonly told: Map<string, number>};
+type Follower = {readonly name: string; readonly beliefs: RoutingState; readonly feeds: FeedFollowers; readonly pull: RoutingTablePuller; readonly told: Map<string, number>};
 
 /** Instances that follow one store and tell each other, linked as gateways are; all start within a third of a second. */
 export class VirtualFollowers implements AsyncDisposable {
@@ -54,17 +54,17 @@
 
 	#start(index: number, member: Member, {members, random}: {members: readonly Member[]; random: () => number}): void {
 		const {time, instances, applyMilliseconds} = this.#options;
-		const beliefs = Beliefs.create(quiet);
+		const beliefs = RoutingState.create(quiet);
 		const {linked} = neighboursOf(member, members, () => true);
 		const told = new Map<string, number>();
-		const pull = TablePull.create({
+		const pull = RoutingTablePuller.create({
 			ownVersion: () => beliefs.table?.version,
-			holders: () => [...told].map(([name, version]) => ({instance: name, version, ask: () => {
+			holders: () => [...told].map(([name, version]) => ({instance: name, version, requestTable: () => {
 				this.#ask(index, name);
 			}})),
 			logger: quiet,
-			onBehind() {
-				feeds.routing.doubt();
+			onStaleTable() {
+				feeds.routing.abortLongPoll();
 			},
 		});
 		beliefs.onChange(change => {
@@ -73,8 +73,8 @@
 			}
 		});
 		const feeds = followFeeds(new VirtualClient(this.store, time).feeds(), {
-			beliefs, drainMilliseconds: applyMilliseconds, applyMilliseconds, logger: quiet, random, onEra: () => undefined,
-			peers: {view: {links: linked.size, instances}, know: () => undefined, forget: () => undefined},
+			routingState: beliefs, drainMilliseconds: applyMilliseconds, applyMilliseconds, logger: quiet, random, onEra: () => undefined,
+			peers: {view: {links: linked.size, instances}, addPeers: () => undefined, removePeer: () => undefined},
 		});
 		this.#followers.push({name: member.name, beliefs, feeds, pull, told});
 	}
@@ -83,7 +83,7 @@
 		for (const name of linked) {
 			this.#send({from, to: name, milliseconds: messageMilliseconds}, ({told, pull}) => {
 				told.set(`front-${from}`, version);
-				pull.heard();
+				pull.handlePeerVersion();
 			});
 		}
 	}
@@ -92,7 +92,7 @@
 		this.#send({from, to: holder, milliseconds: messageMilliseconds}, ({beliefs}) => {
 			const input = beliefs.tableInput!;
 			this.#send({from: Number(holder.split('-')[1]), to: `front-${from}`, milliseconds: tableMilliseconds}, asker => {
-				asker.beliefs.offerTable(input, `instance ${holder}`);
+				asker.beliefs.applyTable(input, `instance ${holder}`);
 			});
 		});
 	}
--- a/test/gateway/virtual-store.ts
+++ b/test/gateway/virtual-store.ts
@@ -94,7 +94,7 @@
 			instances: this.#idleFeed('instances'),
 			routing: {
 				...this.#idleFeed('routing'),
-				readNewest: async () => this.#call(() => this.#store.newest()),
+				readSnapshot: async () => this.#call(() => this.#store.newest()),
 				readChanges: async (from, waitMilliseconds, signal) => this.#read({from, waitMilliseconds, signal}),
 			},
 		};
@@ -103,7 +103,7 @@
 	#idleFeed<Item>(name: string): Feed<Item> {
 		return {
 			name,
-			readNewest: async () => this.#call(() => ({items: [], next: {era: this.#store.era, offset: 0}})),
+			readSnapshot: async () => this.#call(() => ({items: [], next: {era: this.#store.era, offset: 0}})),
 			readChanges: async from => this.#call((): FeedReading<Item> => this.#store.era > from.era ? {type: 'new-era', era: this.#store.era} : {type: 'page', page: {items: [], next: from}}),
 			onEra: listener => {
 				this.#listeners.push(listener);
--- a/test/platform/quarantine-ledger.test.ts
+++ b/test/platform/quarantine-ledger.test.ts
@@ -2,7 +2,7 @@
 import {FakeLog} from '../../fakes/index.js';
 import {type EndpointId, type InstanceId} from '../../src/model/index.js';
 import {HttpLogClient, QuarantineLedger} from '../../src/platform/index.js';
-import {createCrash, createRelease, Suspicion} from '../../src/policy/quarantine/index.js';
+import {createCrashRecord, createReleasedRecord, Suspicion} from '../../src/policy/quarantine/index.js';
 
 async function until(condition: () => boolean): Promise<void> {
 	for (let tries = 0; !condition() && tries < 500; tries++) {
@@ -12,7 +12,7 @@
 	}
 }
 
-const crash = (side: string) => createCrash(side as InstanceId, `${side}-endpoint` as EndpointId, ['poison'], Date.now());
+const crash = (side: string) => createCrashRecord(side as InstanceId, `${side}-endpoint` as EndpointId, ['poison'], Date.now());
 
 tap.test('records spread by frame while the log is down, each once, and by the log once it is back', async t => {
 	// An endpoint dies while the log is down. Peers hear of it by frame at once, pass it on once, and a
@@ -40,7 +40,7 @@
 	await log.start();
 	await until(() => far.judge('poison').suspicion === Suspicion.quarantined);
 	t.equal(far.judge('poison').suspicion, Suspicion.quarantined);
-	near.note(createRelease(near.state, 'poison', 'operator', Date.now()));
+	near.note(createReleasedRecord(near.state, 'poison', 'operator', Date.now()));
 	await until(() => far.judge('poison').suspicion === Suspicion.none);
 	t.equal(far.judge('poison').suspicion, Suspicion.none);
 	far.hear(['not a record']);
--- a/test/policy/backlog.test.ts
+++ b/test/policy/backlog.test.ts
@@ -1,6 +1,6 @@
 import tap from 'tap';
 import {createRandom} from '../../bench/harness/random.js';
-import {LoadBook} from '../../src/policy/dispatch/index.js';
+import {LoadTracker} from '../../src/policy/dispatch/index.js';
 
 // Sixty confirmations waited at an instance and were refused after a second, while engines read for little over half of the time
 // (300 tokens a millisecond in "unread" of Sent lines, where eight engines do 540 between their steps). An engine reads the next prompt
@@ -17,7 +17,7 @@
 /** An engine that reads one prompt after the other while it has any. */
 function play(share: number, seed: number): {readonly bias: number; readonly errors: readonly number[]} {
 	const random = createRandom(seed);
-	const book = LoadBook.create();
+	const book = LoadTracker.create();
 	const coming: Prompt[] = [];
 	const errors: number[] = [];
 	const reading = promptTokens / tokensPerMillisecond;
@@ -32,7 +32,7 @@
 
 		errors.push(book.load('engine', at).backlogMilliseconds - Math.max(0, freeAt - at));
 		const id = `a/${number}`;
-		book.step({type: 'placed', run: {id, owner: 'a', endpoint: 'engine', service: 'models', unreadTokens: promptTokens, isTight: false, parts: []}}, at);
+		book.step({type: 'placed', run: {id, owner: 'a', endpoint: 'engine', service: 'models', prefillTokens: promptTokens, isLatencyCritical: false, parts: []}}, at);
 		freeAt = Math.max(freeAt, at) + reading;
 		coming.push({id, firstEventAt: freeAt + latencyMilliseconds});
 	}
--- a/test/policy/claims.test.ts
+++ b/test/policy/claims.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import tap from 'tap';
 import {v7 as uuidv7} from 'uuid';
-import {createAnswers, createClaims, findAnswer, foldClaims, holderOf, keepAnswer, keyWindowMilliseconds, largestAnswersBytes, parseClaimKey, type Claims} from '../../src/policy/claims/index.js';
+import {createResponseCache, createClaims, findResponse, foldClaims, holderOf, cacheResponse, keyWindowMilliseconds, largestAnswersBytes, parseClaimKey, type Claims} from '../../src/policy/claims/index.js';
 
 const start = 1_800_000_000_000;
 type Step = {readonly type: 'claim' | 'release' | 'finish'; readonly key: string; readonly claim: string};
@@ -86,10 +86,10 @@
 
 tap.test('kept answers stay within their bytes and their time', async t => {
 	const answer = (bytes: number) => ({status: 200, headers: {}, body: new Uint8Array(bytes)});
-	let state = keepAnswer(createAnswers(), 'c1', answer(10), 0);
-	state = keepAnswer(state, 'c2', answer(largestAnswersBytes - 5), 1);
-	t.equal(findAnswer(state, 'c1', 2), undefined);
-	t.equal(findAnswer(state, 'c2', 2)?.status, 200);
-	t.equal(findAnswer(state, 'c2', 10 * 60_000), undefined);
+	let state = cacheResponse(createResponseCache(), 'c1', answer(10), 0);
+	state = cacheResponse(state, 'c2', answer(largestAnswersBytes - 5), 1);
+	t.equal(findResponse(state, 'c1', 2), undefined);
+	t.equal(findResponse(state, 'c2', 2)?.status, 200);
+	t.equal(findResponse(state, 'c2', 10 * 60_000), undefined);
 	t.equal(state.bytes, largestAnswersBytes - 5);
 });
--- a/test/policy/dispatch.test.ts
+++ b/test/policy/dispatch.test.ts
@@ -4,43 +4,43 @@
 import {type ZoneName} from '../../src/model/index.js';
 import {type UrgencyPair} from '../../src/routing/index.js';
 import {
-	availability, type Candidate, chanceOfPlace, choosePlace, createEndpointHealth, createReadingSpeed, decodeLoad, defaultTuning, type Demand, encodeLoad, inOrder, learnReadingSpeed, LoadBook,
-	LineTeller, type LoadEvent, PartMemory, PeerLines, RetryShare, retryWithoutTable, runId, stepEndpointHealth, type Waiting, WaitingLine,
+	availability, type Candidate, sendProbability, choosePlace, createEndpointHealth, createReadingSpeed, decodeLoad, defaultTuning, type Demand, encodeLoad, inHashOrder, learnReadingSpeed, LoadTracker,
+	QueueReporter, type LoadEvent, PartMemory, PeerQueues, RetryShare, retryAfterWithoutTable, runId, stepEndpointHealth, type QueuedRequest, WaitingQueue,
 } from '../../src/policy/dispatch/index.js';
 
 const zone = 'zone-a' as ZoneName;
-const reactionMilliseconds = 20;
+const propagationMilliseconds = 20;
 const view = {links: 3, instances: 4};
 
 function candidates(count: number, slots = 16): Candidate[] {
-	return inOrder(Array.from({length: count}, (_, index) => ({id: `endpoint-${index}`, zone, slots, isEngine: true})));
+	return inHashOrder(Array.from({length: count}, (_, index) => ({id: `endpoint-${index}`, zone, slots, isEngine: true})));
 }
 
 function demand(more: Partial<Demand> = {}): Demand {
 	return {
-		service: 'models', urgency: 2, urgencies: {most: 1, least: 2}, targetMilliseconds: 600, parts: [], isTight: false, pauseMilliseconds: 500, tightestPauseMilliseconds: 120, waitedMilliseconds: 0, elapsedMilliseconds: 0, isOutranked: false, ...more,
+		service: 'models', urgency: 2, urgencies: {most: 1, least: 2}, targetMilliseconds: 600, parts: [], isLatencyCritical: false, maxPauseMilliseconds: 500, strictestPauseMilliseconds: 120, waitedMilliseconds: 0, elapsedMilliseconds: 0, isOutranked: false, ...more,
 	};
 }
 
-function bookFor(all: readonly Candidate[]): LoadBook {
-	const book = LoadBook.create();
+function bookFor(all: readonly Candidate[]): LoadTracker {
+	const book = LoadTracker.create();
 	for (const {id} of all) {
-		book.setMemory(id, 400_000);
+		book.setCacheCapacity(id, 400_000);
 	}
 
 	return book;
 }
 
 let runs = 0;
-function place(book: LoadBook, wanted: Demand, all: readonly Candidate[], now: number): string | undefined {
-	const choice = choosePlace(book, wanted, all, {zone, now, reactionMilliseconds, view, tuning: defaultTuning});
+function place(book: LoadTracker, wanted: Demand, all: readonly Candidate[], now: number): string | undefined {
+	const choice = choosePlace(book, wanted, all, {zone, now, propagationMilliseconds, view, tuning: defaultTuning});
 	if (choice.type !== 'place') {
 		return undefined;
 	}
 
 	runs += 1;
 	book.step({type: 'placed', run: {
-		id: `run-${runs}`, owner: 'a', endpoint: choice.endpoint, service: wanted.service, unreadTokens: choice.unreadTokens, isTight: wanted.isTight, parts: wanted.parts,
+		id: `run-${runs}`, owner: 'a', endpoint: choice.endpoint, service: wanted.service, prefillTokens: choice.prefillTokens, isLatencyCritical: wanted.isLatencyCritical, parts: wanted.parts,
 	}}, now);
 	return choice.endpoint;
 }
@@ -75,7 +75,7 @@
 	const book = bookFor(all);
 	const tight = new Set<string>();
 	for (let number = 0; number < 8; number++) {
-		tight.add(place(book, demand({isTight: true, urgency: 0, targetMilliseconds: 150, pauseMilliseconds: 120, parts: [{id: 500 + number, tokens: 400}]}), all, 0)!);
+		tight.add(place(book, demand({isLatencyCritical: true, urgency: 0, targetMilliseconds: 150, maxPauseMilliseconds: 120, parts: [{id: 500 + number, tokens: 400}]}), all, 0)!);
 		book.step({type: 'first-event', id: `run-${runs}`}, 0);
 	}
 
@@ -101,7 +101,7 @@
 		t.ok(book.load(id, 0).backlogMilliseconds < 300);
 	}
 
-	t.ok(place(book, demand({isTight: true, urgency: 0, targetMilliseconds: 150, pauseMilliseconds: 120, parts: [{id: 500, tokens: 400}]}), all, 0));
+	t.ok(place(book, demand({isLatencyCritical: true, urgency: 0, targetMilliseconds: 150, maxPauseMilliseconds: 120, parts: [{id: 500, tokens: 400}]}), all, 0));
 });
 
 tap.test('an endpoint without a free slot takes no more, and one with fewer runs comes first', async t => {
@@ -110,19 +110,19 @@
 	const small = demand({parts: [{id: 7, tokens: 10}], targetMilliseconds: 100});
 	const endpoints = [0, 1, 2, 3].map(() => place(book, small, all, 0));
 	t.equal(new Set(endpoints).size, 2);
-	t.equal(choosePlace(book, small, all, {zone, now: 0, reactionMilliseconds, view, tuning: defaultTuning}).type, 'wait');
+	t.equal(choosePlace(book, small, all, {zone, now: 0, propagationMilliseconds, view, tuning: defaultTuning}).type, 'wait');
 });
 
 tap.test('what another instance placed counts until it ends, or until that instance is lost', async t => {
 	const [only] = candidates(1);
 	const book = bookFor([only!]);
-	const run = {id: 'b/1', owner: 'b', endpoint: only!.id, service: 'models', unreadTokens: 5000, isTight: true, parts: []};
+	const run = {id: 'b/1', owner: 'b', endpoint: only!.id, service: 'models', prefillTokens: 5000, isLatencyCritical: true, parts: []};
 	book.step({type: 'placed', run}, 0);
 	book.step({type: 'placed', run}, 0);
-	t.match(book.load(only!.id, 0), {running: 1, tightRuns: 1});
+	t.match(book.load(only!.id, 0), {running: 1, latencyCriticalRuns: 1});
 	t.ok(book.load(only!.id, 0).backlogMilliseconds > 20);
 	book.step({type: 'owner-lost', owner: 'b'}, 5);
-	t.match(book.load(only!.id, 5), {running: 0, tightRuns: 0, backlogMilliseconds: 0});
+	t.match(book.load(only!.id, 5), {running: 0, latencyCriticalRuns: 0, backlogMilliseconds: 0});
 });
 
 tap.test('the pace is learned under load: what disturbs a sample does not drag it down', async t => {
@@ -144,15 +144,15 @@
 // at once. Taken one by one, the second looks read at thousands of tokens a millisecond, and backlogs
 // half as long as they are; callers then wait behind prompts that were sent where they had no room.
 tap.test('prompts that are read side by side do not make the engine look faster', async t => {
-	const book = LoadBook.create();
+	const book = LoadTracker.create();
 	const pace = 70;
 	const base = 45;
 	for (let round = 0; round < 120; round++) {
 		const at = round * 1000;
 		const tokens = [3000 + (round % 7 * 500), 2500 + (round % 5 * 700)];
 		const whole = base + ((tokens[0]! + tokens[1]!) / pace);
-		for (const [index, unreadTokens] of tokens.entries()) {
-			book.step({type: 'placed', run: {id: `a/${round}-${index}`, owner: 'a', endpoint: 'e', service: 'models', unreadTokens, isTight: false, parts: []}}, at + index);
+		for (const [index, prefillTokens] of tokens.entries()) {
+			book.step({type: 'placed', run: {id: `a/${round}-${index}`, owner: 'a', endpoint: 'e', service: 'models', prefillTokens, isLatencyCritical: false, parts: []}}, at + index);
 		}
 
 		book.step({type: 'first-event', id: `a/${round}-0`}, at + whole - 3);
@@ -177,7 +177,7 @@
 	const held = (id: string, now: number): string => `${id}-${now}`;
 	for (let now = 100; now <= 4000; now += 100) {
 		for (const {id} of all) {
-			book.step({type: 'placed', run: {id: held(id, now), owner: 'b', endpoint: id, service: 'models', unreadTokens: 9000, isTight: false, parts: []}}, now);
+			book.step({type: 'placed', run: {id: held(id, now), owner: 'b', endpoint: id, service: 'models', prefillTokens: 9000, isLatencyCritical: false, parts: []}}, now);
 			book.step({type: 'first-event', id: held(id, now - 100)}, now + 1);
 			book.step({type: 'ended', id: held(id, now - 100)}, now + 1);
 		}
@@ -187,19 +187,19 @@
 		book.step({type: 'ended', id: held(id, 4000)}, 4000);
 	}
 
-	book.step({type: 'placed', run: {id: 'behind', owner: 'b', endpoint: holder, service: 'models', unreadTokens: 20_000, isTight: false, parts: []}}, 4000);
+	book.step({type: 'placed', run: {id: 'behind', owner: 'b', endpoint: holder, service: 'models', prefillTokens: 20_000, isLatencyCritical: false, parts: []}}, 4000);
 	const wanted = demand({parts: prompt(1, 1), waitedMilliseconds: 400, elapsedMilliseconds: 400, targetMilliseconds: 1200});
-	t.match(choosePlace(book, wanted, all, {zone, now: 4000, reactionMilliseconds, view, tuning: defaultTuning}), {type: 'wait', endpoint: holder});
-	t.match(choosePlace(book, {...wanted, waitedMilliseconds: 900, elapsedMilliseconds: 900}, all, {zone, now: 20_000, reactionMilliseconds, view, tuning: defaultTuning}), {type: 'place'}, 'after a rest nobody waits so long');
+	t.match(choosePlace(book, wanted, all, {zone, now: 4000, propagationMilliseconds, view, tuning: defaultTuning}), {type: 'wait', endpoint: holder});
+	t.match(choosePlace(book, {...wanted, waitedMilliseconds: 900, elapsedMilliseconds: 900}, all, {zone, now: 20_000, propagationMilliseconds, view, tuning: defaultTuning}), {type: 'place'}, 'after a rest nobody waits so long');
 });
 
 tap.test('so many of several instances take one place together as it can read until they hear of each other', async t => {
-	const contention = {contenders: 20, lookMilliseconds: 16, readingMilliseconds: 60, reactionMilliseconds: 50};
-	const chance = chanceOfPlace(contention);
-	const expected = chance * contention.contenders * contention.reactionMilliseconds / contention.lookMilliseconds;
+	const contention = {contenders: 20, searchIntervalMilliseconds: 16, prefillMilliseconds: 60, propagationMilliseconds: 50};
+	const chance = sendProbability(contention);
+	const expected = chance * contention.contenders * contention.propagationMilliseconds / contention.searchIntervalMilliseconds;
 	t.ok(expected > 2 && expected < 12, `${expected} sent in one reaction`);
-	t.equal(chanceOfPlace({...contention, contenders: 0}), 1);
-	t.ok(chanceOfPlace({...contention, readingMilliseconds: 10}) > chance, 'short prompts fill no engine');
+	t.equal(sendProbability({...contention, contenders: 0}), 1);
+	t.ok(sendProbability({...contention, prefillMilliseconds: 10}) > chance, 'short prompts fill no engine');
 });
 
 tap.test('load travels in rows that name no owner, and what is no row is refused', async t => {
@@ -207,7 +207,7 @@
 	const number = fc.nat(1_000_000);
 	const event: fc.Arbitrary<LoadEvent> = fc.oneof(
 		fc.record({type: fc.constant('placed' as const), run: fc.record({
-			id: number.map(value => runId('a', value)), owner: fc.constant('a'), endpoint: fc.constant('e-1'), service: fc.constant('models'), unreadTokens: fc.nat(50_000), isTight: fc.boolean(), parts,
+			id: number.map(value => runId('a', value)), owner: fc.constant('a'), endpoint: fc.constant('e-1'), service: fc.constant('models'), prefillTokens: fc.nat(50_000), isLatencyCritical: fc.boolean(), parts,
 		})}),
 		fc.record({type: fc.constant('first-event' as const), id: number.map(value => runId('a', value))}),
 		fc.record({type: fc.constant('ended' as const), id: number.map(value => runId('a', value))}),
@@ -297,12 +297,12 @@
 	}), {seed: 5, numRuns: 60});
 });
 
-function waiting(id: string, more: Partial<Waiting> = {}): Waiting {
+function waiting(id: string, more: Partial<QueuedRequest> = {}): QueuedRequest {
 	return {id, workspace: 'w', service: 's', urgency: {route: 1, workspace: undefined}, work: 1, arrivedAt: 0, inTimeUntil: 500, lastStartAt: 1000, ...more};
 }
 
 tap.test('the line goes by urgency, then by what a workspace had, then by arrival', async t => {
-	const line = WaitingLine.create();
+	const line = WaitingQueue.create();
 	line.charge(waiting('before', {workspace: 'greedy', work: 1000}), 0);
 	line.add(waiting('late', {arrivedAt: 2}));
 	line.add(waiting('greedy', {workspace: 'greedy', arrivedAt: 0}));
@@ -315,7 +315,7 @@
 // A burst left a long line. Served by arrival alone, each of them is late when its turn comes, and so is
 // everyone after; those that can still be in time go first, and the late ones follow.
 tap.test('who can still be in time goes before who is late, within one urgency', async t => {
-	const line = WaitingLine.create();
+	const line = WaitingQueue.create();
 	line.add(waiting('late', {arrivedAt: 0, inTimeUntil: 400}));
 	line.add(waiting('in-time', {arrivedAt: 300, inTimeUntil: 700}));
 	line.add(waiting('late-urgent', {urgency: {route: 0, workspace: undefined}, arrivedAt: 0, inTimeUntil: 100}));
@@ -323,7 +323,7 @@
 });
 
 tap.test('the rate at which work was started falls with time', async t => {
-	const line = WaitingLine.create();
+	const line = WaitingQueue.create();
 	t.equal(line.startedWorkRate('s', 0), 0);
 	for (let now = 0; now < 5000; now += 10) {
 		line.charge(waiting('x', {work: 500}), now);
@@ -336,7 +336,7 @@
 
 // An endless burst of urgent requests: the least urgent one still has its turn.
 tap.test('nobody starves in the line', async t => {
-	const line = WaitingLine.create();
+	const line = WaitingQueue.create();
 	line.add(waiting('patient', {urgency: {route: 9, workspace: undefined}, arrivedAt: 0}));
 	let served = -1;
 	for (let turn = 0; turn < 20 && served === -1; turn++) {
@@ -352,23 +352,23 @@
 // An instance that has just started hears of another's run before its own first request. It took the engine
 // to have no memory, for good, so that all that it placed read beginnings again that were kept there.
 tap.test('an engine whose runs were told before its memory was known keeps what it reads', async t => {
-	const book = LoadBook.create();
+	const book = LoadTracker.create();
 	const parts = prompt(1, 1);
-	book.step({type: 'placed', run: {id: 'b/1', owner: 'b', endpoint: 'e', service: 'models', unreadTokens: 9200, isTight: false, parts}}, 0);
-	book.setMemory('e', 400_000);
-	book.step({type: 'placed', run: {id: 'b/2', owner: 'b', endpoint: 'e', service: 'models', unreadTokens: 9200, isTight: false, parts}}, 10);
+	book.step({type: 'placed', run: {id: 'b/1', owner: 'b', endpoint: 'e', service: 'models', prefillTokens: 9200, isLatencyCritical: false, parts}}, 0);
+	book.setCacheCapacity('e', 400_000);
+	book.step({type: 'placed', run: {id: 'b/2', owner: 'b', endpoint: 'e', service: 'models', prefillTokens: 9200, isLatencyCritical: false, parts}}, 10);
 	t.equal(book.unread('e', prompt(1, 2)), 2900, 'only its own part');
 });
 
-function readOnce(book: LoadBook, endpoint: string, parts: Demand['parts'], now: number): void {
+function readOnce(book: LoadTracker, endpoint: string, parts: Demand['parts'], now: number): void {
 	runs += 1;
-	book.step({type: 'placed', run: {id: `run-${runs}`, owner: 'a', endpoint, service: 'models', unreadTokens: 100, isTight: false, parts}}, now);
+	book.step({type: 'placed', run: {id: `run-${runs}`, owner: 'a', endpoint, service: 'models', prefillTokens: 100, isLatencyCritical: false, parts}}, now);
 	book.step({type: 'first-event', id: `run-${runs}`}, now + 20);
 	book.step({type: 'ended', id: `run-${runs}`}, now + 30);
 }
 
 const linkTokensPerMillisecond = 400;
-const withLinks = {zone, now: 1000, reactionMilliseconds, view, fetchTokensPerMillisecond: linkTokensPerMillisecond, tuning: defaultTuning};
+const withLinks = {zone, now: 1000, propagationMilliseconds, view, fetchTokensPerMillisecond: linkTokensPerMillisecond, tuning: defaultTuning};
 
 // The engine that holds a beginning is full. Its fellows read 6,300 tokens again, 70 ms in which all their streams
 // pause, though the engines' own links carry them in 20 ms.
@@ -377,12 +377,12 @@
 	const book = bookFor(all);
 	readOnce(book, all[0]!.id, prompt(1, 1), 0);
 	for (const index of [0, 1]) {
-		book.step({type: 'placed', run: {id: `b/${index}`, owner: 'b', endpoint: all[0]!.id, service: 'models', unreadTokens: 0, isTight: false, parts: []}}, 100);
+		book.step({type: 'placed', run: {id: `b/${index}`, owner: 'b', endpoint: all[0]!.id, service: 'models', prefillTokens: 0, isLatencyCritical: false, parts: []}}, 100);
 	}
 
 	const wanted = demand({parts: prompt(1, 2), targetMilliseconds: 100, waitedMilliseconds: 500});
 	const choice = choosePlace(book, wanted, all, withLinks);
-	t.match(choice, {type: 'place', unreadTokens: 2900, fetch: {from: all[0]!.id, tokens: 6300}});
+	t.match(choice, {type: 'place', prefillTokens: 2900, fetch: {from: all[0]!.id, tokens: 6300}});
 	const without = choosePlace(book, wanted, all, {...withLinks, fetchTokensPerMillisecond: undefined});
 	t.not(without.type === 'place' && without.fetch !== undefined, true, 'engines that pass nothing to each other are not asked to');
 	const off = choosePlace(book, wanted, all, {...withLinks, tuning: {...defaultTuning, fetches: false}});
@@ -394,7 +394,7 @@
 tap.test('nothing is fetched from an engine that has not read it yet', async t => {
 	const all = candidates(3, 1);
 	const book = bookFor(all);
-	book.step({type: 'placed', run: {id: 'b/1', owner: 'b', endpoint: all[0]!.id, service: 'models', unreadTokens: 9200, isTight: false, parts: prompt(1, 1)}}, 990);
+	book.step({type: 'placed', run: {id: 'b/1', owner: 'b', endpoint: all[0]!.id, service: 'models', prefillTokens: 9200, isLatencyCritical: false, parts: prompt(1, 1)}}, 990);
 	const early = choosePlace(book, demand({parts: prompt(1, 2), waitedMilliseconds: 5000, targetMilliseconds: 50}), all, withLinks);
 	t.notMatch(early, {fetch: {from: all[0]!.id}});
 	book.step({type: 'first-event', id: 'b/1'}, 1100);
@@ -408,16 +408,16 @@
 	const all = candidates(6);
 	const book = bookFor(all);
 	for (let number = 0; number < 12; number++) {
-		const endpoint = place(book, demand({isTight: true, urgency: 0, targetMilliseconds: 1200, pauseMilliseconds: 250, tightestPauseMilliseconds: 250, parts: [{id: 500 + number, tokens: 400}]}), all, number * 20);
+		const endpoint = place(book, demand({isLatencyCritical: true, urgency: 0, targetMilliseconds: 1200, maxPauseMilliseconds: 250, strictestPauseMilliseconds: 250, parts: [{id: 500 + number, tokens: 400}]}), all, number * 20);
 		t.equal(endpoint, all[0]!.id, 'they share the first of the order');
 		book.step({type: 'first-event', id: `run-${runs}`}, (number * 20) + 10);
 	}
 
 	book.step({type: 'kept', endpoint: all[0]!.id, parts: prompt(1, 1)}, 900);
 	const long = [...prompt(1, 1).slice(0, 2), {id: 77, tokens: 26_000}];
-	const choice = choosePlace(book, demand({parts: long, targetMilliseconds: 2000, tightestPauseMilliseconds: 250}), all, withLinks);
+	const choice = choosePlace(book, demand({parts: long, targetMilliseconds: 2000, strictestPauseMilliseconds: 250}), all, withLinks);
 	t.ok(choice.type === 'place' && choice.endpoint !== all[0]!.id);
-	const short = choosePlace(book, demand({parts: [...prompt(1, 1).slice(0, 2), {id: 78, tokens: 300}], targetMilliseconds: 2000, tightestPauseMilliseconds: 250}), all, withLinks);
+	const short = choosePlace(book, demand({parts: [...prompt(1, 1).slice(0, 2), {id: 78, tokens: 300}], targetMilliseconds: 2000, strictestPauseMilliseconds: 250}), all, withLinks);
 	t.match(short, {type: 'place', endpoint: all[0]!.id});
 });
 
@@ -447,55 +447,55 @@
 tap.test('callers come back after an outage of the store, not into it', async t => {
 	const outage = 3500;
 	const arrivals = Array.from({length: 35}, (_, index) => index * 100);
-	const served = arrivals.filter(at => at + retryWithoutTable(at) >= outage).length;
+	const served = arrivals.filter(at => at + retryAfterWithoutTable(at) >= outage).length;
 	t.ok(served >= arrivals.length / 2, `${served} of ${arrivals.length}`);
 	t.ok(arrivals.filter(at => at + 400 >= outage).length < arrivals.length / 5, 'a fixed time brings few');
-	t.equal(retryWithoutTable(0), 400, 'a usual start is over by then');
-	t.ok(retryWithoutTable(60_000) <= 5000);
+	t.equal(retryAfterWithoutTable(0), 400, 'a usual start is over by then');
+	t.ok(retryAfterWithoutTable(60_000) <= 5000);
 });
 
 // A confirmation waits at one instance and a draft at another: the draft takes only what has nothing to read. Once the other
 // instance says that nothing waits, is lost, or has said nothing for a while, the draft's usual bound is back.
 tap.test('the less urgent leave places to what waits at another instance, as long as it is known to wait', async t => {
 	const [first, second] = [{route: 1, workspace: 1}, {route: 2, workspace: 1}];
-	const lines = PeerLines.create();
+	const lines = PeerQueues.create();
 	const tell = (now: number, urgencies: UrgencyPair[] = [first]): void => {
-		lines.hear({type: 'waiting', owner: 'b', service: 'models', urgencies: urgencies.map(urgency => ({...urgency, count: 3}))}, now);
+		lines.update({type: 'waiting', owner: 'b', service: 'models', urgencies: urgencies.map(urgency => ({...urgency, count: 3}))}, now);
 	};
 
 	tell(0);
-	t.ok(lines.outranks('models', second, 200));
-	t.notOk(lines.outranks('models', first, 200), 'not among equals');
-	t.notOk(lines.outranks('orders', second, 200), 'not at another service');
+	t.ok(lines.hasMoreUrgent('models', second, 200));
+	t.notOk(lines.hasMoreUrgent('models', first, 200), 'not among equals');
+	t.notOk(lines.hasMoreUrgent('orders', second, 200), 'not at another service');
 	t.same([lines.ahead('models', first, 200), lines.ahead('models', second, 200), lines.ahead('models', {route: 0, workspace: 1}, 200)], [3, 3, 0], 'equals count, the less urgent don\'t');
 	tell(200, [{route: 2, workspace: 0}]);
-	t.notOk(lines.outranks('models', first, 210), 'not for a less urgent route');
-	t.ok(lines.outranks('models', second, 210));
+	t.notOk(lines.hasMoreUrgent('models', first, 210), 'not for a less urgent route');
+	t.ok(lines.hasMoreUrgent('models', second, 210));
 	tell(220);
-	t.notOk(lines.outranks('models', second, 600), 'word that is old');
+	t.notOk(lines.hasMoreUrgent('models', second, 600), 'word that is old');
 	t.equal(lines.ahead('models', second, 600), 0);
 	tell(700);
 	tell(800, []);
-	t.notOk(lines.outranks('models', second, 810), 'nothing waits any more');
+	t.notOk(lines.hasMoreUrgent('models', second, 810), 'nothing waits any more');
 	tell(900);
 	lines.forget('b');
-	t.notOk(lines.outranks('models', second, 910), 'the instance is lost');
+	t.notOk(lines.hasMoreUrgent('models', second, 910), 'the instance is lost');
 });
 
 tap.test('an outranked request goes to an engine that has been idle for a while, and leaves slots', async t => {
-	const book = LoadBook.create();
+	const book = LoadTracker.create();
 	const [engine] = candidates(1);
 	const draft = demand({isOutranked: true, parts: [{id: 1, tokens: 2000}]});
-	const wants = (asked: typeof draft, now: number): string => choosePlace(book, asked, [engine!], {zone, now, reactionMilliseconds, view, tuning: defaultTuning}).type;
+	const wants = (asked: typeof draft, now: number): string => choosePlace(book, asked, [engine!], {zone, now, propagationMilliseconds, view, tuning: defaultTuning}).type;
 	t.equal(wants(draft, 0), 'place', 'never used');
-	book.step({type: 'placed', run: {id: 'b/1', owner: 'b', endpoint: engine!.id, service: 'models', unreadTokens: 1000, isTight: false, parts: []}}, 0);
+	book.step({type: 'placed', run: {id: 'b/1', owner: 'b', endpoint: engine!.id, service: 'models', prefillTokens: 1000, isLatencyCritical: false, parts: []}}, 0);
 	t.equal(wants(draft, 0), 'wait');
 	t.equal(wants({...draft, isOutranked: false}, 0), 'place', 'a short backlog is no hindrance otherwise');
 	book.step({type: 'first-event', id: 'b/1'}, 20);
-	t.equal(wants(draft, 20 + reactionMilliseconds), 'wait', 'others may not have heard yet that it is free');
-	t.equal(wants(draft, 20 + (2 * reactionMilliseconds)), 'place');
+	t.equal(wants(draft, 20 + propagationMilliseconds), 'wait', 'others may not have heard yet that it is free');
+	t.equal(wants(draft, 20 + (2 * propagationMilliseconds)), 'place');
 	for (let number = 2; number < engine!.slots; number++) {
-		book.step({type: 'placed', run: {id: `b/${number}`, owner: 'b', endpoint: engine!.id, service: 'models', unreadTokens: 0, isTight: false, parts: []}}, 30);
+		book.step({type: 'placed', run: {id: `b/${number}`, owner: 'b', endpoint: engine!.id, service: 'models', prefillTokens: 0, isLatencyCritical: false, parts: []}}, 30);
 		book.step({type: 'first-event', id: `b/${number}`}, 30);
 	}
 
@@ -505,27 +505,27 @@
 
 // Guards against drafts of workspaces that go first, sent elsewhere for as long as they come, while a confirmation gets nothing.
 tap.test('a request at risk is told by its kind alone, and less urgent kinds hold back for it, whoever sends them', async t => {
-	const teller = LineTeller.create('a');
-	const lines = PeerLines.create();
+	const teller = QueueReporter.create('a');
+	const lines = PeerQueues.create();
 	const waiting = {service: 'models', urgency: {route: 1, workspace: 1}, arrivedAt: 0, lastStartAt: 2000};
 	const draftThatGoesFirst = {route: 2, workspace: 0};
 	const hear = (now: number): void => {
 		for (const event of teller.events([waiting], now)) {
-			lines.hear({...event, owner: 'a'}, now);
+			lines.update({...event, owner: 'a'}, now);
 		}
 	};
 
 	hear(500);
-	t.notOk(lines.outranks('models', draftThatGoesFirst, 500), 'it has most of its time left');
+	t.notOk(lines.hasMoreUrgent('models', draftThatGoesFirst, 500), 'it has most of its time left');
 	hear(1100);
-	t.ok(lines.outranks('models', draftThatGoesFirst, 1100));
-	t.notOk(lines.outranks('models', {route: 1, workspace: 1}, 1100), 'not among equals');
-	t.notOk(lines.outranks('models', {route: 0, workspace: 2}, 1100), 'not for a more urgent kind');
+	t.ok(lines.hasMoreUrgent('models', draftThatGoesFirst, 1100));
+	t.notOk(lines.hasMoreUrgent('models', {route: 1, workspace: 1}, 1100), 'not among equals');
+	t.notOk(lines.hasMoreUrgent('models', {route: 0, workspace: 2}, 1100), 'not for a more urgent kind');
 });
 
 // Guards against the order of workspaces that is lost, and against a kind that gets nothing by it.
 tap.test('a workspace that goes first does so in all kinds, until another kind is at risk', async t => {
-	const line = WaitingLine.create();
+	const line = WaitingQueue.create();
 	const add = (id: string, urgency: UrgencyPair, arrivedAt: number): void => {
 		line.add({id, workspace: id, service: 'models', urgency, work: 1, arrivedAt, inTimeUntil: arrivedAt + 300, lastStartAt: arrivedAt + 2000});
 	};
@@ -544,7 +544,7 @@
 
 // Each message costs every other instance time: a line is told of a few times a second, and its end once.
 tap.test('an instance tells of its line now and then, and once of its end', async t => {
-	const teller = LineTeller.create('a');
+	const teller = QueueReporter.create('a');
 	const waiting = [{service: 'models', urgency: {route: 1, workspace: undefined}, arrivedAt: 0, lastStartAt: 2000}, {service: 'models', urgency: {route: 1, workspace: undefined}, arrivedAt: 20, lastStartAt: 22_000}];
 	t.same(teller.events(waiting, 30), [], 'a short wait is usual');
 	t.same(teller.events(waiting, 50), [{type: 'waiting', owner: 'a', service: 'models', urgencies: [{route: 1, workspace: undefined, count: 1}]}]);
@@ -557,18 +557,18 @@
 // without rest. What may wait to be read beside a tight stream had one and a half reactions as its floor, 93 ms there, so that the next
 // prompt was always there before the last was read.
 tap.test('little waits to be read beside a tight stream, however late instances hear of each other', async t => {
-	const late = {zone, view, tuning: defaultTuning, reactionMilliseconds: 62};
+	const late = {zone, view, tuning: defaultTuning, propagationMilliseconds: 62};
 	const unread = (beside: boolean, tokens: number): string => {
-		const book = LoadBook.create();
+		const book = LoadTracker.create();
 		const [engine] = candidates(1);
 		const {id} = engine!;
-		book.step({type: 'placed', run: {id: 'a/1', owner: 'a', endpoint: id, service: 'models', unreadTokens: 0, isTight: beside, parts: []}}, 0);
+		book.step({type: 'placed', run: {id: 'a/1', owner: 'a', endpoint: id, service: 'models', prefillTokens: 0, isLatencyCritical: beside, parts: []}}, 0);
 		book.step({type: 'first-event', id: 'a/1'}, 1);
-		book.step({type: 'placed', run: {id: 'a/2', owner: 'a', endpoint: id, service: 'models', unreadTokens: tokens, isTight: false, parts: []}}, 100);
-		return choosePlace(book, demand({parts: [{id: 1, tokens: 2000}], tightestPauseMilliseconds: 200}), [engine!], {...late, now: 100}).type;
+		book.step({type: 'placed', run: {id: 'a/2', owner: 'a', endpoint: id, service: 'models', prefillTokens: tokens, isLatencyCritical: false, parts: []}}, 100);
+		return choosePlace(book, demand({parts: [{id: 1, tokens: 2000}], strictestPauseMilliseconds: 200}), [engine!], {...late, now: 100}).type;
 	};
 
-	const {tokensPerMillisecond} = LoadBook.create().speed('models');
+	const {tokensPerMillisecond} = LoadTracker.create().speed('models');
 	t.equal(unread(true, tokensPerMillisecond * 60), 'wait', '60 ms to read, and streams that may pause for 200');
 	t.equal(unread(true, tokensPerMillisecond * 20), 'place');
 	t.equal(unread(false, tokensPerMillisecond * 60), 'place', 'nobody is harmed where none runs');
--- a/test/policy/eras.test.ts
+++ b/test/policy/eras.test.ts
@@ -1,13 +1,13 @@
 import tap from 'tap';
-import {afterEra, hearEra, type KnownEra, unknownEra} from '../../src/policy/eras/index.js';
+import {updateKnownEra, checkEra, type KnownEra, unknownEra} from '../../src/policy/eras/index.js';
 
 function hear(known: KnownEra, said: string | undefined): {type: string; known: KnownEra} {
-	const verdict = hearEra(known, said);
-	return {type: verdict.type, known: afterEra(known, verdict, said)};
+	const verdict = checkEra(known, said);
+	return {type: verdict.type, known: updateKnownEra(known, verdict, said)};
 }
 
 tap.test('an era only rises, and what can\'t be read changes nothing', async t => {
-	t.match(hear(unknownEra, undefined), {type: 'same', known: {era: 0, isTold: false}}, 'a store that never says one');
+	t.match(hear(unknownEra, undefined), {type: 'same', known: {era: 0, isReported: false}}, 'a store that never says one');
 	const {type, known} = hear(unknownEra, '4');
 	t.equal(type, 'same', 'the first one that is said is no change');
 	t.match(hear(known, '4'), {type: 'same', known});
--- a/test/policy/folds.test.ts
+++ b/test/policy/folds.test.ts
@@ -3,7 +3,7 @@
 import {createFailure, type EndpointId, FailureKind, type InstanceId, Verdict} from '../../src/model/index.js';
 import {createMembership, standingOf, stepMembership, type Evidence} from '../../src/policy/membership/index.js';
 import {
-	createClearing, createCrash, createQuarantine, createRelease, fingerprintOf, foldQuarantine, judgeFingerprint, listQuarantined, pruneQuarantine,
+	createClearedRecord, createCrashRecord, createQuarantine, createReleasedRecord, fingerprintOf, foldQuarantine, evaluateFingerprint, listQuarantined, pruneQuarantine,
 	quarantineMilliseconds, Suspicion, type QuarantineRecord,
 } from '../../src/policy/quarantine/index.js';
 import {budgetAllows, createRetryBudget, decideRetry, floorPerSecond, largestBudget, stepRetryBudget} from '../../src/policy/retries/index.js';
@@ -34,7 +34,7 @@
 
 tap.test('a retry is refused by verdict, body, attempts, deadline and kind', async t => {
 	const budget = createRetryBudget(0);
-	const attempt = {failure: createFailure(FailureKind.endpointLost, 'lost', {verdict: Verdict.mayHaveRun}), attempts: 1, idempotent: true, bodyLeft: true, deadline: 1000};
+	const attempt = {failure: createFailure(FailureKind.endpointLost, 'lost', {verdict: Verdict.mayHaveRun}), attempts: 1, idempotent: true, isBodySent: true, deadline: 1000};
 	t.same(decideRetry(budget, attempt, 0.5, 0), {type: 'retry', afterMilliseconds: 0, free: false});
 	t.same(decideRetry(budget, {...attempt, idempotent: false}, 0.5, 0), {type: 'give-up', reason: 'verdict'});
 	t.same(decideRetry(budget, {...attempt, idempotent: false, failure: createFailure(FailureKind.preempted, 'stopped')}, 0.5, 0), {type: 'give-up', reason: 'verdict'});
@@ -117,7 +117,7 @@
 			state = foldQuarantine(state, one);
 		}
 
-		return ['f1', 'f2', 'f3'].map(fingerprint => judgeFingerprint(state, fingerprint, 2000));
+		return ['f1', 'f2', 'f3'].map(fingerprint => evaluateFingerprint(state, fingerprint, 2000));
 	};
 
 	const sorted = (records: readonly QuarantineRecord[]) => JSON.stringify(judge(records).map(({suspicion, crashes}) => [suspicion, crashes.map(({crash}) => crash).toSorted()]));
@@ -130,19 +130,19 @@
 tap.test('a poison request is quarantined at its second crash, and the innocents beside it are not', async t => {
 	// A request kills the endpoint that runs it; two innocents ran beside it. The caller sends it again:
 	// it is tried once more, kills a second endpoint beside a third innocent, and is refused from then on.
-	let state = foldQuarantine(createQuarantine(), createCrash('side-1' as InstanceId, endpoint, ['poison', 'menu', 'chart'], 1000));
-	t.equal(judgeFingerprint(state, 'menu', 1100).suspicion, Suspicion.suspect);
-	state = foldQuarantine(state, createClearing('menu', judgeFingerprint(state, 'menu', 1100), 1200));
-	t.equal(judgeFingerprint(state, 'menu', 1300).suspicion, Suspicion.none);
-	state = foldQuarantine(state, createCrash('side-2' as InstanceId, 'e2' as EndpointId, ['poison', 'ticket'], 2000));
-	t.equal(judgeFingerprint(state, 'poison', 2001).suspicion, Suspicion.quarantined);
-	t.equal(judgeFingerprint(state, 'chart', 2001).suspicion, Suspicion.none, 'its crash is explained');
-	t.equal(judgeFingerprint(state, 'ticket', 2001).suspicion, Suspicion.none);
+	let state = foldQuarantine(createQuarantine(), createCrashRecord('side-1' as InstanceId, endpoint, ['poison', 'menu', 'chart'], 1000));
+	t.equal(evaluateFingerprint(state, 'menu', 1100).suspicion, Suspicion.suspect);
+	state = foldQuarantine(state, createClearedRecord('menu', evaluateFingerprint(state, 'menu', 1100), 1200));
+	t.equal(evaluateFingerprint(state, 'menu', 1300).suspicion, Suspicion.none);
+	state = foldQuarantine(state, createCrashRecord('side-2' as InstanceId, 'e2' as EndpointId, ['poison', 'ticket'], 2000));
+	t.equal(evaluateFingerprint(state, 'poison', 2001).suspicion, Suspicion.quarantined);
+	t.equal(evaluateFingerprint(state, 'chart', 2001).suspicion, Suspicion.none, 'its crash is explained');
+	t.equal(evaluateFingerprint(state, 'ticket', 2001).suspicion, Suspicion.none);
 	t.same(listQuarantined(state, 2001).map(({fingerprint}) => fingerprint), ['poison']);
-	t.equal(judgeFingerprint(state, 'poison', 2000 + quarantineMilliseconds).suspicion, Suspicion.none);
+	t.equal(evaluateFingerprint(state, 'poison', 2000 + quarantineMilliseconds).suspicion, Suspicion.none);
 	t.equal(pruneQuarantine(state, 2000 + quarantineMilliseconds).crashes.size, 0);
-	const released = foldQuarantine(state, createRelease(state, 'poison', 'op', 2500));
-	t.equal(judgeFingerprint(released, 'poison', 2600).suspicion, Suspicion.none);
+	const released = foldQuarantine(state, createReleasedRecord(state, 'poison', 'op', 2500));
+	t.equal(evaluateFingerprint(released, 'poison', 2600).suspicion, Suspicion.none);
 });
 
 tap.test('a fingerprint outlives changed ids and layout, and tells small numbers apart', async t => {
--- a/test/policy/limits.test.ts
+++ b/test/policy/limits.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import tap from 'tap';
 import {
-	admit, createKeeper, createLocal, evenShare, finish, leaseShare, spendTokens, takeLease, takeReport, type KeeperState, type Lease,
+	admit, createAllocator, createLimiter, evenShare, finish, grantLease, spendTokens, applyLease, createReport, type AllocatorState, type Lease,
 } from '../../src/policy/limits/index.js';
 
 const limits = {requestsPerSecond: 100, tokensPerSecond: 5000, concurrency: 20};
@@ -13,12 +13,12 @@
 tap.test('the shares that one keeper has out never exceed the limit, whatever is reported and when', async () => {
 	const reports = fc.array(fc.record({holder: fc.constantFrom('a', 'b', 'c', 'd'), demand: demandArbitrary, pause: fc.nat({max: 2000})}), {maxLength: 40});
 	fc.assert(fc.property(reports, list => {
-		let state: KeeperState = createKeeper();
+		let state: AllocatorState = createAllocator();
 		let now = 0;
 		const held = new Map<string, Lease & {until: number}>();
 		for (const {holder, demand, pause} of list) {
 			now += pause;
-			const {lease, state: next} = leaseShare(state, {holder, demand: {...demand, running: 0}, limits}, now);
+			const {lease, state: next} = grantLease(state, {holder, demand: {...demand, running: 0}, limits}, now);
 			state = next;
 			held.set(holder, {...lease, until: now + lease.milliseconds});
 			if (exceedsLimits([...held.values()], now)) {
@@ -40,8 +40,8 @@
 
 tap.test('within any span an entry admits no more than its burst and its rate', async () => {
 	fc.assert(fc.property(fc.array(fc.nat({max: 60}), {maxLength: 300}), pauses => {
-		const question = {limits: {requestsPerSecond: 100}, standing: {entries: 4, position: 0}, promptTokens: 1};
-		let state = createLocal(question, 0);
+		const question = {limits: {requestsPerSecond: 100}, fleetPosition: {entries: 4, position: 0}, promptTokens: 1};
+		let state = createLimiter(question, 0);
 		let now = 0;
 		let admitted = 0;
 		for (const pause of pauses) {
@@ -58,30 +58,30 @@
 tap.test('a hot class at one entry gets the whole limit within two reports', async t => {
 	// The caller's class may send 100 a second, and the balancer turns all of it to one of four
 	// entries. At first that entry has its even share of 25; the keeper sees demand nowhere else.
-	let state = createKeeper();
+	let state = createAllocator();
 	const idle = {requestsPerSecond: 0, tokensPerSecond: 0, concurrency: 0, running: 0};
 	for (const holder of ['b', 'c', 'd']) {
-		state = leaseShare(state, {holder, demand: idle, limits}, 0).state;
+		state = grantLease(state, {holder, demand: idle, limits}, 0).state;
 	}
 
 	const hot = {...idle, requestsPerSecond: 200};
-	const first = leaseShare(state, {holder: 'a', demand: hot, limits}, 10);
+	const first = grantLease(state, {holder: 'a', demand: hot, limits}, 10);
 	t.ok(first.lease.requestsPerSecond > 40, 'what nobody asked for is there at once');
-	const later = leaseShare(first.state, {holder: 'a', demand: hot, limits}, 6000);
+	const later = grantLease(first.state, {holder: 'a', demand: hot, limits}, 6000);
 	t.ok(later.lease.requestsPerSecond > 99);
 });
 
 tap.test('concurrency counts what runs, and tokens may run into debt', async t => {
-	const question = {limits: {concurrency: 1, tokensPerSecond: 1000}, standing: {entries: 1, position: 0}, promptTokens: 10};
-	const first = admit(createLocal(question, 0), question, 0);
+	const question = {limits: {concurrency: 1, tokensPerSecond: 1000}, fleetPosition: {entries: 1, position: 0}, promptTokens: 10};
+	const first = admit(createLimiter(question, 0), question, 0);
 	t.equal(first.decision.type, 'admitted');
 	t.match(admit(first.state, question, 0).decision, {type: 'limited', limit: 'concurrency'});
 	const ended = finish(spendTokens(first.state, 2000), 100);
 	t.match(admit(ended, question, 100).decision, {type: 'limited', limit: 'tokens'});
 	t.equal(admit(ended, question, 3000).decision.type, 'admitted');
 	const lease = {requestsPerSecond: 1, tokensPerSecond: 1, concurrency: 0, milliseconds: 500};
-	t.match(admit(takeLease(ended, question, lease, 3000), question, 3100).decision, {limit: 'concurrency'});
-	t.match(takeReport(first.state, 1000).demand, {running: 1, requestsPerSecond: 1});
+	t.match(admit(applyLease(ended, question, lease, 3000), question, 3100).decision, {limit: 'concurrency'});
+	t.match(createReport(first.state, 1000).demand, {running: 1, requestsPerSecond: 1});
 });
 
 function exceedsLimits(leases: ReadonlyArray<Lease & {until: number}>, now: number): boolean {
--- a/test/policy/partial-view.test.ts
+++ b/test/policy/partial-view.test.ts
@@ -1,25 +1,25 @@
 import tap from 'tap';
 import {createRandom} from '../../bench/harness/random.js';
 import {type ZoneName} from '../../src/model/index.js';
-import {choosePlace, type Demand, defaultTuning, inOrder, LoadBook, runId, type Circumstances} from '../../src/policy/dispatch/index.js';
+import {choosePlace, type Demand, defaultTuning, inHashOrder, LoadTracker, runId, type PlacementContext} from '../../src/policy/dispatch/index.js';
 import {type FleetView} from '../../src/policy/sharing/index.js';
 
 const zone = 'zone-a' as ZoneName;
 const slots = 8;
-const engines = inOrder(Array.from({length: 40}, (_, index) => ({id: `engine-${index}`, zone, slots, isEngine: true})));
+const engines = inHashOrder(Array.from({length: 40}, (_, index) => ({id: `engine-${index}`, zone, slots, isEngine: true})));
 
 function tightDemand(number: number): Demand {
 	return {
-		service: 'models', urgency: 0, urgencies: {most: 1, least: 2}, targetMilliseconds: 150, parts: [{id: 7, tokens: 170}, {id: 1_000_000 + number, tokens: 540}], isTight: true,
-		pauseMilliseconds: 120, tightestPauseMilliseconds: 120, waitedMilliseconds: 0, elapsedMilliseconds: 0, isOutranked: false,
+		service: 'models', urgency: 0, urgencies: {most: 1, least: 2}, targetMilliseconds: 150, parts: [{id: 7, tokens: 170}, {id: 1_000_000 + number, tokens: 540}], isLatencyCritical: true,
+		maxPauseMilliseconds: 120, strictestPauseMilliseconds: 120, waitedMilliseconds: 0, elapsedMilliseconds: 0, isOutranked: false,
 	};
 }
 
 /** Tight streams come in one moment through many instances, none of which has heard of another's. The most that one engine gets. */
 function fullest(view: FleetView, {instances, streams}: {instances: number; streams: number}): number {
 	const random = createRandom(3);
-	const books = Array.from({length: instances}, () => LoadBook.create());
-	const circumstances: Circumstances = {zone, now: 100, view, reactionMilliseconds: 50, tuning: defaultTuning};
+	const books = Array.from({length: instances}, () => LoadTracker.create());
+	const circumstances: PlacementContext = {zone, now: 100, view, propagationMilliseconds: 50, tuning: defaultTuning};
 	const placed = new Map<string, number>();
 	for (let number = 0; number < streams; number++) {
 		const instance = random.below(instances);
@@ -27,7 +27,7 @@
 		const choice = choosePlace(book, tightDemand(number), engines, circumstances);
 		if (choice.type === 'place') {
 			placed.set(choice.endpoint, (placed.get(choice.endpoint) ?? 0) + 1);
-			book.step({type: 'placed', run: {id: runId(`i${instance}`, number), owner: `i${instance}`, endpoint: choice.endpoint, service: 'models', unreadTokens: choice.unreadTokens, isTight: true, parts: []}}, 100);
+			book.step({type: 'placed', run: {id: runId(`i${instance}`, number), owner: `i${instance}`, endpoint: choice.endpoint, service: 'models', prefillTokens: choice.prefillTokens, isLatencyCritical: true, parts: []}}, 100);
 		}
 	}
 
@@ -44,14 +44,14 @@
 // Guards against long prompts on engines that are left to tight streams of which this instance has not heard.
 tap.test('an engine left to tight streams is taken to run some, heard of or not', async t => {
 	const choice = (view: FleetView): string => {
-		const book = LoadBook.create();
+		const book = LoadTracker.create();
 		for (let number = 0; number < 6; number++) {
-			book.step({type: 'placed', run: {id: runId('b', number), owner: 'b', endpoint: engines[1]!.id, service: 'models', unreadTokens: 0, isTight: true, parts: []}}, 0);
+			book.step({type: 'placed', run: {id: runId('b', number), owner: 'b', endpoint: engines[1]!.id, service: 'models', prefillTokens: 0, isLatencyCritical: true, parts: []}}, 0);
 			book.step({type: 'first-event', id: runId('b', number)}, 1);
 		}
 
-		const long: Demand = {...tightDemand(1), isTight: false, parts: [{id: 5, tokens: 6000}, {id: 6, tokens: 2900}], targetMilliseconds: 800, pauseMilliseconds: 500};
-		const made = choosePlace(book, long, engines.slice(0, 4), {zone, now: 100, view, reactionMilliseconds: 50, tuning: defaultTuning});
+		const long: Demand = {...tightDemand(1), isLatencyCritical: false, parts: [{id: 5, tokens: 6000}, {id: 6, tokens: 2900}], targetMilliseconds: 800, maxPauseMilliseconds: 500};
+		const made = choosePlace(book, long, engines.slice(0, 4), {zone, now: 100, view, propagationMilliseconds: 50, tuning: defaultTuning});
 		return made.endpoint;
 	};
 
@@ -64,21 +64,21 @@
 	const overfull = (view: FleetView): number => {
 		const random = createRandom(5);
 		const instances = 30;
-		const books = Array.from({length: instances}, () => LoadBook.create());
+		const books = Array.from({length: instances}, () => LoadTracker.create());
 		const placed = new Map<string, number>();
 		for (let number = 0; number < 640; number++) {
 			const own = random.below(instances);
 			const draft: Demand = {
-				...tightDemand(number), isTight: false, urgency: 2, parts: [{id: random.below(500), tokens: 0}, {id: 1_000_000 + number, tokens: 20}], targetMilliseconds: 800, pauseMilliseconds: 500,
+				...tightDemand(number), isLatencyCritical: false, urgency: 2, parts: [{id: random.below(500), tokens: 0}, {id: 1_000_000 + number, tokens: 20}], targetMilliseconds: 800, maxPauseMilliseconds: 500,
 			};
 			const now = 1000 + (number * 100);
-			const choice = choosePlace(books[own]!, draft, engines, {zone, now, view, reactionMilliseconds: 50, tuning: defaultTuning});
+			const choice = choosePlace(books[own]!, draft, engines, {zone, now, view, propagationMilliseconds: 50, tuning: defaultTuning});
 			if (choice.type === 'wait') {
 				continue;
 			}
 
 			placed.set(choice.endpoint, (placed.get(choice.endpoint) ?? 0) + 1);
-			const run = {id: runId(`i${own}`, number), owner: `i${own}`, endpoint: choice.endpoint, service: 'models', unreadTokens: choice.unreadTokens, isTight: false, parts: []};
+			const run = {id: runId(`i${own}`, number), owner: `i${own}`, endpoint: choice.endpoint, service: 'models', prefillTokens: choice.prefillTokens, isLatencyCritical: false, parts: []};
 			for (const [instance, book] of books.entries()) {
 				if (instance === own || (instance + own) % 3 === 0) {
 					book.step({type: 'placed', run}, now);
--- a/test/policy/reading-pace.test.ts
+++ b/test/policy/reading-pace.test.ts
@@ -1,6 +1,6 @@
 import tap from 'tap';
 import {createRandom} from '../../bench/harness/random.js';
-import {endpointPause} from '../../src/policy/sharing/index.js';
+import {endpointPollInterval} from '../../src/policy/sharing/index.js';
 
 const seconds = 60;
 const drainMilliseconds = 2000;
@@ -17,8 +17,8 @@
 		let now = random.uniform() * 300;
 		for (let count = 1; now < seconds * 1000; count++) {
 			moments.push(now);
-			const pause = {readings: count, draw: random.uniform()};
-			for (const from = now; now - from < endpointPause({others: now < meetMilliseconds ? 0 : instances - 1, drainMilliseconds}, pause);) {
+			const pause = {polls: count, draw: random.uniform()};
+			for (const from = now; now - from < endpointPollInterval({others: now < meetMilliseconds ? 0 : instances - 1, drainMilliseconds}, pause);) {
 				now += lookMilliseconds;
 			}
 		}
--- a/test/policy/scheduler/properties.test.ts
+++ b/test/policy/scheduler/properties.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import tap from 'tap';
 import {type RequestId, type RequestSummary} from '../../../src/model/index.js';
-import {createSettings, firstCome, type Scheduler, type SchedulerAction, type SchedulerEvent, tiered} from '../../../src/policy/scheduler/index.js';
+import {createSettings, createFifoScheduler, type Scheduler, type SchedulerAction, type SchedulerEvent, createTieredScheduler} from '../../../src/policy/scheduler/index.js';
 import {type Deed, deeds} from './arbitraries.js';
 
 type Place = 'waiting' | 'offered' | 'running' | 'stopping';
@@ -135,8 +135,8 @@
 
 const small = {initialSlots: 3, queueLimit: 6, floorPlaces: 2, holdMilliseconds: 100};
 const makers: ReadonlyArray<[string, () => Scheduler<unknown>]> = [
-	['tiered', () => tiered(small)],
-	['first come', () => firstCome(small)],
+	['tiered', () => createTieredScheduler(small)],
+	['first come', () => createFifoScheduler(small)],
 ];
 for (const [name, make] of makers) {
 	tap.test(`${name}: any sequence of events keeps the books, and every asserted rule`, async () => {
@@ -168,7 +168,7 @@
 }
 
 tap.test('one step leaves the state that it was given as it was', async t => {
-	const scheduler = tiered(createSettings(small));
+	const scheduler = createTieredScheduler(createSettings(small));
 	fc.assert(fc.property(deeds, list => {
 		let state = scheduler.create();
 		for (const [index, {deed}] of list.entries()) {
--- a/test/policy/scheduler/scenarios.test.ts
+++ b/test/policy/scheduler/scenarios.test.ts
@@ -1,5 +1,5 @@
 import tap from 'tap';
-import {firstCome, floorWaitBound, createSettings, tiered} from '../../../src/policy/scheduler/index.js';
+import {createFifoScheduler, floorWaitBound, createSettings, createTieredScheduler} from '../../../src/policy/scheduler/index.js';
 import {createSummary} from './arbitraries.js';
 import {attainment, type Received, Simulation, stream} from './simulation.js';
 
@@ -15,10 +15,10 @@
 tap.test('a burst of the top tier is served over long answers of the lowest', async t => {
 	const charts = stream(0, 4000, 100, () => ({summary: createSummary({tier: 2, workspace: 'studio', firstTokenMilliseconds: 5000, queueMilliseconds: 60_000}), tokens: 120}));
 	const burst = stream(2000, 2200, 5, () => ({summary: createSummary({tier: 0, workspace: 'kitchen', firstTokenMilliseconds: 500, queueMilliseconds: 3000}), tokens: 15}));
-	const received = Simulation.run(tiered(settings), [...charts, ...burst], costs, 60_000);
+	const received = Simulation.run(createTieredScheduler(settings), [...charts, ...burst], costs, 60_000);
 	t.equal(attainment(ofTier(received, 0)), 1);
 	t.ok(ofTier(received, 2).every(({endedAt, preemptions}) => endedAt !== undefined && preemptions <= 2));
-	const baseline = Simulation.run(firstCome(settings), [...charts, ...burst], costs, 60_000);
+	const baseline = Simulation.run(createFifoScheduler(settings), [...charts, ...burst], costs, 60_000);
 	t.ok(attainment(ofTier(baseline, 0)) < 0.5, 'first come first served lets the burst wait');
 });
 
@@ -28,7 +28,7 @@
 tap.test('a flood of one workspace does not delay its rival', async t => {
 	const flood = stream(0, 10_000, 10, () => ({summary: createSummary({workspace: 'studio', queueMilliseconds: 2000}), tokens: 20}));
 	const rival = stream(1000, 10_000, 200, () => ({summary: createSummary({workspace: 'rival', queueMilliseconds: 2000}), tokens: 20}));
-	const received = Simulation.run(tiered(settings), [...flood, ...rival], costs, 30_000);
+	const received = Simulation.run(createTieredScheduler(settings), [...flood, ...rival], costs, 30_000);
 	const ofRival = received.filter(({sent}) => sent.summary.workspace === 'rival');
 	t.ok(attainment(ofRival) >= 0.98, `rival attainment ${attainment(ofRival)}`);
 	t.ok(received.every(({endedAt, refusedAt}) => endedAt !== undefined || refusedAt !== undefined), 'everyone got an answer');
@@ -40,7 +40,7 @@
 tap.test('long jobs do not lock out short ones of a rival', async t => {
 	const long = stream(0, 10_000, 150, () => ({summary: createSummary({workspace: 'studio', className: 'stitch', queueMilliseconds: 8000, firstTokenMilliseconds: 4000}), tokens: 600}));
 	const short = stream(2000, 10_000, 50, () => ({summary: createSummary({workspace: 'kitchen', className: 'order', firstTokenMilliseconds: 1000}), tokens: 10}));
-	const received = Simulation.run(tiered(settings), [...long, ...short], costs, 60_000);
+	const received = Simulation.run(createTieredScheduler(settings), [...long, ...short], costs, 60_000);
 	const ofKitchen = received.filter(({sent}) => sent.summary.workspace === 'kitchen');
 	t.ok(attainment(ofKitchen) >= 0.9, `short attainment ${attainment(ofKitchen)}`);
 });
@@ -48,7 +48,7 @@
 // Slow endpoint: it takes five times as long for a step from the start. Callers see their time between
 // tokens kept near the target, because the queue takes slots away until it is.
 tap.test('a slow endpoint runs fewer at once', async t => {
-	const scheduler = tiered(settings);
+	const scheduler = createTieredScheduler(settings);
 	const steady = stream(0, 10_000, 100, () => ({summary: createSummary({queueMilliseconds: 1000}), tokens: 30}));
 	const received = Simulation.run(scheduler, steady, {stepMilliseconds: 10, stepMillisecondsPerRequest: 5}, 30_000);
 	const late = received.filter(({sent, endedAt}) => sent.at > 3000 && endedAt !== undefined);
@@ -71,7 +71,7 @@
 			...stream(0, 10_000, every(lower), () => ({summary: createSummary({tier: 1, workspace: 'studio', firstTokenMilliseconds: 1500, queueMilliseconds: 4000}), tokens})),
 			...stream(0, 10_000, every(lower), () => ({summary: createSummary({tier: 2, workspace: 'rival', firstTokenMilliseconds: 5000, queueMilliseconds: 20_000}), tokens})),
 		];
-		const received = Simulation.run(tiered(settings), sent, costs, 60_000);
+		const received = Simulation.run(createTieredScheduler(settings), sent, costs, 60_000);
 		t.ok(attainment(ofTier(received, 0)) >= 0.99, `top tier ${attainment(ofTier(received, 0))}`);
 		const served = ofTier(received, 2).filter(({endedAt}) => endedAt !== undefined);
 		t.ok(served.length > 20, `lowest tier served ${served.length}`);
@@ -88,7 +88,7 @@
 // served in their time are told so early, with a time to come back, and not when their time is over.
 tap.test('what can no longer be served is refused before its time is over', async t => {
 	const sent = stream(0, 4000, 5, () => ({summary: createSummary({firstTokenMilliseconds: 300, queueMilliseconds: 3000}), tokens: 20}));
-	const received = Simulation.run(tiered(settings), sent, costs, 30_000);
+	const received = Simulation.run(createTieredScheduler(settings), sent, costs, 30_000);
 	const refused = received.filter(({refusedAt}) => refusedAt !== undefined).map(item => waitOf(item)).toSorted((one, other) => one - other);
 	t.ok(refused.length > 100);
 	t.ok(refused[Math.floor(refused.length / 2)]! < 1500, `half of the refusals within ${refused[Math.floor(refused.length / 2)]} ms`);
--- a/test/policy/sharing.test.ts
+++ b/test/policy/sharing.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import tap from 'tap';
 import {type ZoneName} from '../../src/model/index.js';
-import {endpointPause, instancePause, largestMesh, largestZoneMesh, type Member, type Neighbours, neighboursOf, retryPause, routingWait, seenShare} from '../../src/policy/sharing/index.js';
+import {endpointPollInterval, instancePollInterval, largestMesh, largestZoneMesh, type Member, type Neighbours, neighboursOf, pollRetryDelay, routingLongPollWait, visibleRequestShare} from '../../src/policy/sharing/index.js';
 
 function fleet(count: number, zones: number, seed = 0): Member[] {
 	return Array.from({length: count}, (_, index) => ({name: `front-${seed}-${index}`, zone: `zone-${index % zones}` as ZoneName}));
@@ -43,7 +43,7 @@
 		const links = linksOf(fleet(count, zones, seed));
 		return [...links].every(([name, {linked}]) => [...linked].every(other => {
 			const back = links.get(other)!;
-			const dials = (links.get(name)!.dialled.includes(other) ? 1 : 0) + (back.dialled.includes(name) ? 1 : 0);
+			const dials = (links.get(name)!.dials.includes(other) ? 1 : 0) + (back.dials.includes(name) ? 1 : 0);
 			return back.linked.has(name) && dials === 1;
 		}));
 	}), {seed: 6, numRuns: 25});
@@ -74,17 +74,17 @@
 });
 
 tap.test('an instance knows of its own and its neighbours\' part of all requests', async t => {
-	t.equal(seenShare({links: 0, instances: 1}), 1);
-	t.equal(seenShare({links: 3, instances: 4}), 1);
-	t.equal(seenShare({links: 24, instances: 100}), 0.25);
-	t.equal(seenShare({links: 5, instances: 2}), 1, 'before all names are known');
+	t.equal(visibleRequestShare({links: 0, instances: 1}), 1);
+	t.equal(visibleRequestShare({links: 3, instances: 4}), 1);
+	t.equal(visibleRequestShare({links: 24, instances: 100}), 0.25);
+	t.equal(visibleRequestShare({links: 5, instances: 2}), 1, 'before all names are known');
 });
 
 tap.test('what all instances ask of the store does not grow with their number', async t => {
 	const callsEachSecond = (instances: number): number => {
 		const others = instances - 1;
-		const middle = {readings: 100, draw: 0.5};
-		return instances * 1000 * ((1 / routingWait({others, readings: 2, isDoubted: false}, 0.5)) + (1 / endpointPause({others, drainMilliseconds: 4000}, middle)) + (1 / instancePause(middle)));
+		const middle = {polls: 100, draw: 0.5};
+		return instances * 1000 * ((1 / routingLongPollWait({others, polls: 2, isStoreUnresponsive: false}, 0.5)) + (1 / endpointPollInterval({others, drainMilliseconds: 4000}, middle)) + (1 / instancePollInterval(middle)));
 	};
 
 	t.ok(callsEachSecond(18) < 5, `18 instances: ${callsEachSecond(18)}`);
@@ -93,16 +93,16 @@
 });
 
 tap.test('a reading waits for a change where the store is well, and asks for what is there where that is in doubt', async t => {
-	t.equal(routingWait({others: 6, readings: 5, isDoubted: false}, 1), 5400);
-	t.equal(routingWait({others: 6, readings: 0, isDoubted: false}, 0.5), 2700, 'after a change any part of a whole wait');
-	t.equal(routingWait({others: 6, readings: 5, isDoubted: true}, 1), 0);
-	t.equal(routingWait({others: 6, readings: 5, isDoubted: false}, 0.123_456), 4453, 'a whole number, which the store takes');
-	t.equal(routingWait({others: 6, readings: 0, isDoubted: false}, 0.123_456), 667);
-	t.equal(routingWait({others: 400, readings: 5, isDoubted: false}, 1), 20_000);
+	t.equal(routingLongPollWait({others: 6, polls: 5, isStoreUnresponsive: false}, 1), 5400);
+	t.equal(routingLongPollWait({others: 6, polls: 0, isStoreUnresponsive: false}, 0.5), 2700, 'after a change any part of a whole wait');
+	t.equal(routingLongPollWait({others: 6, polls: 5, isStoreUnresponsive: true}, 1), 0);
+	t.equal(routingLongPollWait({others: 6, polls: 5, isStoreUnresponsive: false}, 0.123_456), 4453, 'a whole number, which the store takes');
+	t.equal(routingLongPollWait({others: 6, polls: 0, isStoreUnresponsive: false}, 0.123_456), 667);
+	t.equal(routingLongPollWait({others: 400, polls: 5, isStoreUnresponsive: false}, 1), 20_000);
 });
 
 tap.test('a refused reading is tried at once, then ever more rarely; soon again by whoever knows nothing', async t => {
-	const pause = (failures: number, more: {others?: number; hasRead?: boolean; usualMilliseconds?: number; applyMilliseconds?: number} = {}): number => retryPause({failures, others: 5, hasRead: true, usualMilliseconds: 0, applyMilliseconds: 2000, ...more}, 1);
+	const pause = (failures: number, more: {others?: number; hasRead?: boolean; pollIntervalMilliseconds?: number; applyMilliseconds?: number} = {}): number => pollRetryDelay({failures, others: 5, hasRead: true, pollIntervalMilliseconds: 0, applyMilliseconds: 2000, ...more}, 1);
 	t.equal(pause(1), 100);
 	t.equal(pause(20), 600, 'six of them try it nearly ten times within the time of a change');
 	t.equal(pause(20, {others: 40}), 4800, 'and so do many');
@@ -110,7 +110,7 @@
 	t.equal(pause(20, {others: 1}), 500, 'nobody would tell it');
 	t.equal(pause(20, {hasRead: false}), 500);
 	t.equal(pause(20, {others: 1, applyMilliseconds: 8000}), 2000, 'a part of the time of a change');
-	t.equal(pause(1, {usualMilliseconds: 9000}), 9000, 'the others read meanwhile');
-	t.equal(pause(1, {usualMilliseconds: 9000, others: 1}), 100);
-	t.equal(retryPause({failures: 20, others: 5, hasRead: true, usualMilliseconds: 0, applyMilliseconds: 2000}, 0), 300, 'spread, so that one of many is early');
+	t.equal(pause(1, {pollIntervalMilliseconds: 9000}), 9000, 'the others read meanwhile');
+	t.equal(pause(1, {pollIntervalMilliseconds: 9000, others: 1}), 100);
+	t.equal(pollRetryDelay({failures: 20, others: 5, hasRead: true, pollIntervalMilliseconds: 0, applyMilliseconds: 2000}, 0), 300, 'spread, so that one of many is early');
 });
--- a/test/routing/era-model.test.ts
+++ b/test/routing/era-model.test.ts
@@ -1,5 +1,5 @@
 import tap from 'tap';
-import {Standing, trustMilliseconds} from '../../src/routing/index.js';
+import {EndpointStatus, trustMilliseconds} from '../../src/routing/index.js';
 import {Action, ending, EraModel, type Rules, serving} from './era-model.js';
 
 const longest = 7;
@@ -34,11 +34,11 @@
 		}
 
 		model.settle();
-		if (model.standings(serving, trustMilliseconds).some(standing => standing !== Standing.ready)) {
+		if (model.standings(serving, trustMilliseconds).some(standing => standing !== EndpointStatus.ready)) {
 			note('a serving endpoint stays lost', actions);
 		}
 
-		if (model.hasEnded && model.standings(ending, trustMilliseconds).includes(Standing.ready)) {
+		if (model.hasEnded && model.standings(ending, trustMilliseconds).includes(EndpointStatus.ready)) {
 			note('an ended endpoint stays in use beyond its trust', actions);
 		}
 
--- a/test/routing/era-model.ts
+++ b/test/routing/era-model.ts
@@ -1,5 +1,5 @@
 import {type ZoneName} from '../../src/model/index.js';
-import {type EndpointChange, EndpointDirectory, placeOf, Standing, standingOf} from '../../src/routing/index.js';
+import {type EndpointChange, EndpointDirectory, positionOf, EndpointStatus, endpointStatusOf} from '../../src/routing/index.js';
 
 /** What an instance goes by: the store's eras, or offsets alone. */
 export type Rules = 'eras' | 'offsets';
@@ -105,15 +105,15 @@
 	get hasLost(): boolean {
 		return this.#readers.some(({directory}) => {
 			const entry = directory.entries.get(serving);
-			return entry !== undefined && standingOf(entry, 0) !== Standing.ready;
+			return entry !== undefined && endpointStatusOf(entry, 0) !== EndpointStatus.ready;
 		});
 	}
 
 	/** Whether each instance may use an endpoint so long after all of it. */
-	standings(id: string, milliseconds: number): Standing[] {
+	standings(id: string, milliseconds: number): EndpointStatus[] {
 		return this.#readers.map(({directory}) => {
 			const entry = directory.entries.get(id);
-			return entry === undefined ? Standing.gone : standingOf(entry, milliseconds);
+			return entry === undefined ? EndpointStatus.gone : endpointStatusOf(entry, milliseconds);
 		});
 	}
 
@@ -145,7 +145,7 @@
 			}
 
 			const named = [...newest.values()].filter(({type}) => type === 'registered');
-			reader.directory = before.apply(named, 0).retain(new Set(named.map(change => change.type === 'registered' ? change.record.id : '')), era, 0);
+			reader.directory = before.apply(named, 0).applySnapshot(new Set(named.map(change => change.type === 'registered' ? change.record.id : '')), era, 0);
 		} else {
 			const changes = this.#log.slice(next.offset).map((written, index) => toChange(written, {era, offset: next.offset + index}));
 			reader.directory = before.apply(changes, 0);
@@ -158,9 +158,9 @@
 
 	#tell({directory}: Reader, to: Reader): boolean {
 		const before = to.directory;
-		to.directory = before.apply([...directory.entries.values()].filter(({trustedUntil}) => trustedUntil === undefined).map(({record, registrations, endedAt}) => endedAt === undefined
-			? {type: 'registered', ...placeOf(registrations), record}
-			: {type: 'removed', ...placeOf(registrations), id: record.id}), 0);
+		to.directory = before.apply([...directory.entries.values()].filter(({unconfirmedUntil}) => unconfirmedUntil === undefined).map(({record, registrations, endedAt}) => endedAt === undefined
+			? {type: 'registered', ...positionOf(registrations), record}
+			: {type: 'removed', ...positionOf(registrations), id: record.id}), 0);
 		return to.directory !== before;
 	}
 }
--- a/test/routing/eras.test.ts
+++ b/test/routing/eras.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import tap from 'tap';
 import {type ZoneName} from '../../src/model/index.js';
-import {type EndpointChange, endpointChangeSchema, EndpointDirectory, memoryMilliseconds, Standing, standingOf, trustMilliseconds} from '../../src/routing/index.js';
+import {type EndpointChange, endpointChangeSchema, EndpointDirectory, memoryMilliseconds, EndpointStatus, endpointStatusOf, trustMilliseconds} from '../../src/routing/index.js';
 
 type Place = {readonly era: number; readonly offset: number};
 
@@ -13,24 +13,24 @@
 	return {type: 'removed', ...place, id};
 }
 
-function standing(directory: EndpointDirectory, id: string, now: number): Standing | undefined {
+function standing(directory: EndpointDirectory, id: string, now: number): EndpointStatus | undefined {
 	const entry = directory.entries.get(id);
-	return entry === undefined ? undefined : standingOf(entry, now);
+	return entry === undefined ? undefined : endpointStatusOf(entry, now);
 }
 
 // Guards against a whole service ended because the copy is older than its registrations.
 tap.test('an endpoint that the copy lacks is used until its time of trust is over, and for good once it registers again', async t => {
 	const before = EndpointDirectory.create().apply([registered('e', {era: 1, offset: 900})], 0);
-	const back = before.retain(new Set(), 2, 1000);
-	t.equal(standing(back, 'e', 1000), Standing.ready);
-	t.equal(back.onTrust(1000).length, 1);
-	t.equal(standing(back, 'e', 1000 + trustMilliseconds), Standing.lastResort);
-	t.equal(standing(back, 'e', 1000 + (2 * trustMilliseconds)), Standing.gone);
+	const back = before.applySnapshot(new Set(), 2, 1000);
+	t.equal(standing(back, 'e', 1000), EndpointStatus.ready);
+	t.equal(back.unconfirmed(1000).length, 1);
+	t.equal(standing(back, 'e', 1000 + trustMilliseconds), EndpointStatus.lastResort);
+	t.equal(standing(back, 'e', 1000 + (2 * trustMilliseconds)), EndpointStatus.gone);
 	for (const offset of [850, 860, 899]) {
 		for (const revision of [1, 2]) {
 			const again = back.apply([registered('e', {era: 2, offset}, {revision})], 2000);
-			t.equal(standing(again, 'e', 3 * trustMilliseconds), Standing.ready, `at ${offset}, revision ${revision}`);
-			t.equal(again.onTrust(2000).length, 0);
+			t.equal(standing(again, 'e', 3 * trustMilliseconds), EndpointStatus.ready, `at ${offset}, revision ${revision}`);
+			t.equal(again.unconfirmed(2000).length, 0);
 		}
 	}
 
@@ -40,7 +40,7 @@
 // Guards against an endpoint that ended being used again because the copy still has it.
 tap.test('what was taken away before is not brought back by the copy, but by a revision after it', async t => {
 	const ended = EndpointDirectory.create().apply([registered('e', {era: 1, offset: 900}, {revision: 9}), removed('e', {era: 1, offset: 950})], 0);
-	const copied = ended.apply([registered('e', {era: 2, offset: 900}, {revision: 9})], 10).retain(new Set(['e']), 2, 10);
+	const copied = ended.apply([registered('e', {era: 2, offset: 900}, {revision: 9})], 10).applySnapshot(new Set(['e']), 2, 10);
 	t.ok(copied.entries.get('e')?.endedAt !== undefined);
 	t.equal(copied.apply([registered('e', {era: 2, offset: 905}, {revision: 10})], 20).entries.get('e')?.endedAt, undefined, 'it wrote again after the removal');
 	const left = EndpointDirectory.create().apply([registered('l', {era: 1, offset: 1}), registered('l', {era: 1, offset: 2}, {revision: 2, isLeaving: true})], 0);
@@ -53,7 +53,7 @@
 	const again = EndpointDirectory.create().apply([
 		registered('e', {era: 1, offset: 900}, {revision: 9}), removed('e', {era: 1, offset: 950}), registered('e', {era: 2, offset: 890}, {revision: 10}),
 	], 0);
-	t.equal(standing(again, 'e', trustMilliseconds), Standing.ready, 'it wrote after the removal that the copy lacks');
+	t.equal(standing(again, 'e', trustMilliseconds), EndpointStatus.ready, 'it wrote after the removal that the copy lacks');
 	const removedAgain = again.apply([removed('e', {era: 2, offset: 900})], 10);
 	t.ok(removedAgain.entries.get('e')?.endedAt !== undefined);
 	t.ok(removedAgain.apply([removed('e', {era: 1, offset: 950})], 20).entries.get('e')?.endedAt !== undefined, 'whatever a peer tells of the earlier era');
@@ -81,7 +81,7 @@
 			directory = directory.apply([change], 0);
 		}
 
-		return [...directory.entries.values()].map(({record, registrations, endedAt, trustedUntil}) => ({record, registrations, hasEnded: endedAt !== undefined, trustedUntil}))
+		return [...directory.entries.values()].map(({record, registrations, endedAt, unconfirmedUntil}) => ({record, registrations, hasEnded: endedAt !== undefined, unconfirmedUntil}))
 			.toSorted((left, right) => left.record.id < right.record.id ? -1 : 1);
 	};
 
@@ -89,15 +89,15 @@
 		const [order] = fc.sample(fc.shuffledSubarray(subset, {minLength: subset.length}), {seed, numRuns: 1});
 		t.same(outcome(order!), outcome(subset));
 	}), {seed: 11, numRuns: 500});
-	t.match(outcome(changes), [{record: {id: 'e'}, hasEnded: false}, {record: {id: 'f'}, hasEnded: true}, {record: {id: 'g'}, trustedUntil: trustMilliseconds}]);
+	t.match(outcome(changes), [{record: {id: 'e'}, hasEnded: false}, {record: {id: 'f'}, hasEnded: true}, {record: {id: 'g'}, unconfirmedUntil: trustMilliseconds}]);
 });
 
 tap.test('an instance that knows of no eras takes nothing away that a later era has named', async t => {
 	const named = EndpointDirectory.create().apply([registered('e', {era: 3, offset: 10})], 0);
 	t.equal(named.apply([removed('e', {era: 0, offset: 4000})], 1).entries.get('e')?.endedAt, undefined);
 	const heard = named.apply([registered('old', {era: 0, offset: 4000})], 1);
-	t.equal(standing(heard, 'old', 2), Standing.ready);
-	t.equal(standing(heard, 'old', 2 + (2 * trustMilliseconds)), Standing.gone, 'its word is on trust here');
+	t.equal(standing(heard, 'old', 2), EndpointStatus.ready);
+	t.equal(standing(heard, 'old', 2 + (2 * trustMilliseconds)), EndpointStatus.gone, 'its word is on trust here');
 });
 
 tap.test('word of an instance that knows of no eras is of the first one', async t => {
--- a/test/routing/routing.test.ts
+++ b/test/routing/routing.test.ts
@@ -2,7 +2,7 @@
 import tap from 'tap';
 import {type WorkspaceName, type ZoneName} from '../../src/model/index.js';
 import {
-	chooseService, type EndpointChange, EndpointDirectory, lastResortMilliseconds, placeOf, type Route, RouteKind, RoutingTable, Standing, standingOf,
+	chooseService, type EndpointChange, EndpointDirectory, lastResortMilliseconds, positionOf, type Route, RouteKind, RoutingTable, EndpointStatus, endpointStatusOf,
 } from '../../src/routing/index.js';
 
 function route(more: Partial<Route> = {}): Route {
@@ -45,9 +45,9 @@
 tap.test('only streams whose pauses are clearly shorter than others\' count as tight', async t => {
 	const stream = (name: string, pause: number): Route => route({name, kind: RouteKind.stream, longestPauseMilliseconds: pause});
 	const [tight, loose] = [stream('t', 120), stream('l', 500)];
-	t.ok(RoutingTable.create({version: 1, routes: [tight, loose], services: [], limits}).isTightest(tight, 's'));
-	t.notOk(RoutingTable.create({version: 1, routes: [tight, loose], services: [], limits}).isTightest(loose, 's'));
-	t.notOk(RoutingTable.create({version: 1, routes: [tight], services: [], limits}).isTightest(tight, 's'));
+	t.ok(RoutingTable.create({version: 1, routes: [tight, loose], services: [], limits}).isLatencyCritical(tight, 's'));
+	t.notOk(RoutingTable.create({version: 1, routes: [tight, loose], services: [], limits}).isLatencyCritical(loose, 's'));
+	t.notOk(RoutingTable.create({version: 1, routes: [tight], services: [], limits}).isLatencyCritical(tight, 's'));
 });
 
 function registered(id: string, offset: number, more: {isLeaving?: boolean; revision?: number; bornAt?: number} = {}): EndpointChange {
@@ -76,12 +76,12 @@
 });
 
 tap.test('an ended endpoint is a last resort for a moment, then gone', async t => {
-	const directory = EndpointDirectory.create().apply([registered('e', 1)], 0).retain(new Set(), 0, 100);
+	const directory = EndpointDirectory.create().apply([registered('e', 1)], 0).applySnapshot(new Set(), 0, 100);
 	const entry = directory.entries.get('e')!;
-	t.equal(standingOf(entry, 100), Standing.lastResort);
-	t.equal(standingOf(entry, 100 + lastResortMilliseconds), Standing.gone);
+	t.equal(endpointStatusOf(entry, 100), EndpointStatus.lastResort);
+	t.equal(endpointStatusOf(entry, 100 + lastResortMilliseconds), EndpointStatus.gone);
 	const back = directory.apply([registered('e', 7)], 200);
-	t.equal(standingOf(back.entries.get('e')!, 200), Standing.ready, 'the store forgot it, and it registered again');
+	t.equal(endpointStatusOf(back.entries.get('e')!, 200), EndpointStatus.ready, 'the store forgot it, and it registered again');
 });
 
 // An endpoint dies and starts again under its id, two times. Its records, removals and late writes of the dead
@@ -105,7 +105,7 @@
 		}
 
 		const {record, registrations, endedAt} = directory.entries.get('e')!;
-		return {bornAt: record.bornAt, revision: record.revision, offset: placeOf(registrations).offset, hasEnded: endedAt !== undefined};
+		return {bornAt: record.bornAt, revision: record.revision, offset: positionOf(registrations).offset, hasEnded: endedAt !== undefined};
 	};
 
 	t.same(outcome(changes), {bornAt: 300, revision: 1, offset: 8, hasEnded: false});
@@ -125,7 +125,7 @@
 	t.ok(left.entries.get('e')?.endedAt !== undefined);
 	t.equal(left.apply([registered('e', 3, {bornAt: 200})], 0).entries.get('e')?.endedAt, undefined);
 	t.ok(left.apply([registered('e', 3)], 0).entries.get('e')?.endedAt !== undefined);
-	const whole = left.apply([registered('e', 3, {bornAt: 200})], 0).retain(new Set(['other']), 0, 5);
+	const whole = left.apply([registered('e', 3, {bornAt: 200})], 0).applySnapshot(new Set(['other']), 0, 5);
 	t.ok(whole.entries.get('e')?.endedAt !== undefined, 'a whole reading that lacks it ends it');
 });
 
