--- a/src/policy/scheduler/fairness.ts
+++ b/src/policy/scheduler/fairness.ts
@@ -1,42 +1,42 @@
 import {type RequestSummary, type Tier, tiers, type WorkspaceName} from '../../model/index.js';
-import {type Ledger, type Occupied, waitingIn} from './ledger.js';
+import {type Reservations, type SlotHolder, waitingInTier} from './reservations.js';
 import {type SchedulerSettings} from './settings.js';
 
 /**
- * Fairness between the workspaces of a tier by a virtual counter of tokens served, divided by the
- * workspace's weight: who has the least is served next.
+ * Weighted fair queuing between the workspaces of a tier: each workspace has a virtual counter of tokens
+ * served, divided by its weight, and the one with the lowest counter is served next.
  *
- * Load pattern: rivals of one tier, one of which floods, sends long outputs or opens many
- * connections. Without it the flood gets service in proportion to what it sends. Tokens are counted
- * and not requests, since one stitch file costs as much as a hundred confirmations.
+ * This guards against a workspace that floods its tier, sends long outputs or opens many connections.
+ * Without it, such a workspace gets service in proportion to what it sends. Tokens are counted
+ * instead of requests, since one stitch file costs as much as a hundred confirmations.
  *
- * What a request in a slot has cost so far counts at once, its expected length included, so that one
- * workspace does not take every slot that frees up before its first tokens come.
+ * The cost of a request counts from the moment it gets its slot, with its expected length, so that one
+ * workspace does not take every slot that comes free before its first tokens are produced.
  */
 export type Fairness = {
 	/** Weighted cost of ended requests, by tier and workspace. */
-	readonly settled: ReadonlyArray<ReadonlyMap<WorkspaceName, number>>;
-	/** By tier, the highest counter of a workspace at the moment it was served; it never falls. */
+	readonly endedCosts: ReadonlyArray<ReadonlyMap<WorkspaceName, number>>;
+	/** By tier, the highest counter that a workspace had when it was served; it never falls. */
 	readonly virtualTimes: readonly number[];
-	/** Usual length of an answer in tokens, by tier. */
-	readonly usualTokens: readonly number[];
-	/** The greatest weighted cost of one request so far. */
-	readonly greatestCost: number;
-	/** The least weight of a workspace so far. */
-	readonly leastWeight: number;
+	/** Moving average of the response length in tokens, by tier. */
+	readonly averageTokens: readonly number[];
+	/** The highest weighted cost of one request so far. */
+	readonly maximumCost: number;
+	/** The lowest weight of a workspace so far. */
+	readonly minimumWeight: number;
 };
 
-export const evenFairness: Fairness = {
-	settled: tiers.map(() => new Map<WorkspaceName, number>()), virtualTimes: tiers.map(() => 0), usualTokens: tiers.map(() => 0), greatestCost: 0, leastWeight: 1,
+export const initialFairness: Fairness = {
+	endedCosts: tiers.map(() => new Map<WorkspaceName, number>()), virtualTimes: tiers.map(() => 0), averageTokens: tiers.map(() => 0), maximumCost: 0, minimumWeight: 1,
 };
 
-/** Counters of a tier's workspaces, with what runs now counted in. */
-export function countersOf(fairness: Fairness, ledger: Ledger, tier: Tier, settings: SchedulerSettings): ReadonlyMap<WorkspaceName, number> {
-	const counters = new Map(fairness.settled[tier]);
-	for (const occupied of ledger.occupied.values()) {
-		const {summary} = occupied;
+/** Counters of a tier's workspaces, including the expected cost of the requests that hold slots. */
+export function countersOf(fairness: Fairness, reservations: Reservations, tier: Tier, settings: SchedulerSettings): ReadonlyMap<WorkspaceName, number> {
+	const counters = new Map(fairness.endedCosts[tier]);
+	for (const holder of reservations.holders.values()) {
+		const {summary} = holder;
 		if (summary.tier === tier) {
-			counters.set(summary.workspace, (counters.get(summary.workspace) ?? 0) + expectedCost(fairness, occupied, settings));
+			counters.set(summary.workspace, (counters.get(summary.workspace) ?? 0) + expectedCost(fairness, holder, settings));
 		}
 	}
 
@@ -44,74 +44,74 @@
 }
 
 /**
- * Lifts a workspace that comes back to the counter of who is being served. Failure: without it a
- * workspace that was away all morning holds a credit that lets it take every slot, and its rivals
- * wait until the credit is spent. Time away is not owed; only a backlog is.
+ * Raises the counter of a workspace that had nothing waiting to the tier's virtual time. Without this, a
+ * workspace that was idle all morning keeps a credit that lets it take every slot, and the other workspaces
+ * wait until the credit is spent. Only a backlog earns service; idle time does not.
  */
-export function join(fairness: Fairness, ledger: Ledger, summary: RequestSummary, settings: SchedulerSettings): Fairness {
+export function raiseToVirtualTime(fairness: Fairness, reservations: Reservations, summary: RequestSummary, settings: SchedulerSettings): Fairness {
 	const {tier, workspace} = summary;
-	const returning = waitingIn(ledger, tier).every(waiting => waiting.summary.workspace !== workspace);
-	if (!returning) {
+	const isReturning = waitingInTier(reservations, tier).every(waiting => waiting.summary.workspace !== workspace);
+	if (!isReturning) {
 		return fairness;
 	}
 
-	const counter = countersOf(fairness, ledger, tier, settings).get(workspace) ?? 0;
+	const counter = countersOf(fairness, reservations, tier, settings).get(workspace) ?? 0;
 	const behind = fairness.virtualTimes[tier]! - counter;
-	return behind > 0 ? settle(fairness, summary, behind) : fairness;
+	return behind > 0 ? addCost(fairness, summary, behind) : fairness;
 }
 
-/** Moves the tier's virtual time up to the counter of the workspace that it serves now. */
-export function advance(fairness: Fairness, ledger: Ledger, {tier, workspace}: RequestSummary, settings: SchedulerSettings): Fairness {
-	const counter = countersOf(fairness, ledger, tier, settings).get(workspace) ?? 0;
-	const costs = [...ledger.occupied.values()].map(occupied => expectedCost(fairness, occupied, settings));
+/** Moves the tier's virtual time up to the counter of the workspace that is served now. */
+export function advanceVirtualTime(fairness: Fairness, reservations: Reservations, {tier, workspace}: RequestSummary, settings: SchedulerSettings): Fairness {
+	const counter = countersOf(fairness, reservations, tier, settings).get(workspace) ?? 0;
+	const costs = [...reservations.holders.values()].map(holder => expectedCost(fairness, holder, settings));
 	return {
 		...fairness,
-		greatestCost: Math.max(fairness.greatestCost, ...costs),
-		leastWeight: Math.min(fairness.leastWeight, ...[...ledger.waiting.values()].map(({summary}) => summary.weight)),
+		maximumCost: Math.max(fairness.maximumCost, ...costs),
+		minimumWeight: Math.min(fairness.minimumWeight, ...[...reservations.waiting.values()].map(({summary}) => summary.weight)),
 		virtualTimes: fairness.virtualTimes.with(tier, Math.max(counter, fairness.virtualTimes[tier]!)),
 	};
 }
 
 /**
- * Weighted tokens that the counter of a waiting workspace may be from its tier's virtual time: all that
- * it held at once when it was last served, at the greatest cost that a request has had so far, and what
- * being late costs and being resumed brings.
+ * Weighted tokens by which the counter of a waiting workspace may differ from its tier's virtual time: the
+ * requests that it may hold at once when it is served, each at the highest cost that a request has had so
+ * far, plus the penalty for being late and the bonus for resuming.
  */
 export function lagBound(fairness: Fairness, settings: SchedulerSettings): number {
-	return (settings.maximumSlots * fairness.greatestCost) + (2 * settings.latePenaltyTokens / fairness.leastWeight);
+	return (settings.maximumSlots * fairness.maximumCost) + (2 * settings.latePenaltyTokens / fairness.minimumWeight);
 }
 
-/** How far any waiting workspace of the tier is from the virtual time. */
-export function greatestLag(fairness: Fairness, ledger: Ledger, tier: Tier, settings: SchedulerSettings): number {
-	const counters = countersOf(fairness, ledger, tier, settings);
-	const lags = waitingIn(ledger, tier).map(({summary}) => Math.abs((counters.get(summary.workspace) ?? 0) - fairness.virtualTimes[tier]!));
+/** The largest difference between the virtual time of the tier and the counter of a workspace that waits in it. */
+export function maximumLag(fairness: Fairness, reservations: Reservations, tier: Tier, settings: SchedulerSettings): number {
+	const counters = countersOf(fairness, reservations, tier, settings);
+	const lags = waitingInTier(reservations, tier).map(({summary}) => Math.abs((counters.get(summary.workspace) ?? 0) - fairness.virtualTimes[tier]!));
 	return Math.max(0, ...lags);
 }
 
-/** Writes off an ended request with what it really cost. */
-export function leaveSlot(fairness: Fairness, occupied: Occupied, whole: boolean, settings: SchedulerSettings): Fairness {
-	const {summary, tokens} = occupied;
+/** Adds the actual cost of an ended request to its workspace's counter. */
+export function chargeEnded(fairness: Fairness, holder: SlotHolder, isComplete: boolean, settings: SchedulerSettings): Fairness {
+	const {summary, tokens} = holder;
 	const cost = costOf(summary, tokens, settings);
-	const settled = settle({...fairness, greatestCost: Math.max(cost, fairness.greatestCost)}, summary, cost);
-	if (!whole) {
-		return settled;
+	const charged = addCost({...fairness, maximumCost: Math.max(cost, fairness.maximumCost)}, summary, cost);
+	if (!isComplete) {
+		return charged;
 	}
 
-	const usual = settled.usualTokens[summary.tier]!;
-	const next = usual === 0 ? tokens : usual + ((tokens - usual) * learningRate);
-	return {...settled, usualTokens: settled.usualTokens.with(summary.tier, next)};
+	const average = charged.averageTokens[summary.tier]!;
+	const next = average === 0 ? tokens : average + ((tokens - average) * smoothingFactor);
+	return {...charged, averageTokens: charged.averageTokens.with(summary.tier, next)};
 }
 
-const learningRate = 0.05;
+const smoothingFactor = 0.05;
 
-function settle(fairness: Fairness, {tier, workspace}: RequestSummary, cost: number): Fairness {
-	const counters = new Map(fairness.settled[tier]);
+function addCost(fairness: Fairness, {tier, workspace}: RequestSummary, cost: number): Fairness {
+	const counters = new Map(fairness.endedCosts[tier]);
 	counters.set(workspace, (counters.get(workspace) ?? 0) + cost);
-	return {...fairness, settled: fairness.settled.with(tier, counters)};
+	return {...fairness, endedCosts: fairness.endedCosts.with(tier, counters)};
 }
 
-function expectedCost(fairness: Fairness, {summary, tokens}: Occupied, settings: SchedulerSettings): number {
-	return costOf(summary, Math.max(tokens, fairness.usualTokens[summary.tier]!), settings);
+function expectedCost(fairness: Fairness, {summary, tokens}: SlotHolder, settings: SchedulerSettings): number {
+	return costOf(summary, Math.max(tokens, fairness.averageTokens[summary.tier]!), settings);
 }
 
 function costOf(summary: RequestSummary, tokens: number, settings: SchedulerSettings): number {
--- a/src/policy/scheduler/index.ts
+++ b/src/policy/scheduler/index.ts
@@ -1,6 +1,6 @@
-/** Queues of one side: the real one, and first come first served as the line that it must beat. */
+/** Schedulers for the queue of one side: the tiered one, and first come, first served as the baseline. */
 export type * from './types.js';
-export {createFifoScheduler, type FirstComeState} from './first-come.js';
+export {createFifoScheduler, type FifoState} from './fifo.js';
 export {createTieredScheduler} from './tiered.js';
 export {type TieredState} from './tiered-state.js';
 export {createSettings, type SchedulerSettings} from './settings.js';
--- a/src/policy/scheduler/invariants.ts
+++ b/src/policy/scheduler/invariants.ts
@@ -1,24 +1,24 @@
-/** The rules that a queue asserts about its own decisions, in production too. */
+/** Invariants that a scheduler asserts about its own decisions, in production too. */
 export const Rule = {
-	/** Nothing is refused or evicted for want of room while a lower tier holds shared room. */
+	/** No request is refused or evicted because the queue is full while a lower tier uses shared queue capacity. */
 	higherTierFirst: 'higher-tier-first',
-	/** No more requests hold slots than there are, but for those that ran before slots were taken. */
+	/** No more requests hold slots than there are slots, except those that were running when slots were removed. */
 	slotsBounded: 'slots-bounded',
-	/** Preemption never goes upward, nor within a workspace's own tier, and spares whatever must not run twice. */
+	/** A request is never preempted for a lower tier or for its own workspace in its own tier, nor if it must not run twice. */
 	preemptionDownward: 'preemption-downward',
-	/** A waiting lower tier gets its floor share within the bound. */
+	/** A lower tier with waiting requests gets its floor share within the bound. */
 	floorWithinBound: 'floor-within-bound',
-	/** Waiting workspaces of a tier stay within a bounded number of tokens of each other. */
+	/** The counters of a tier's waiting workspaces differ by a bounded number of tokens. */
 	fairWithinBound: 'fair-within-bound',
-	/** A side that leaves, or whose endpoint is down, offers nothing. */
+	/** A side that is draining, or whose endpoint is down, makes no offers. */
 	closedOffersNothing: 'closed-offers-nothing',
 } as const;
 export type Rule = (typeof Rule)[keyof typeof Rule];
 
-/** A rule that did not hold, and with which figures. */
+/** An invariant that did not hold, and the values that show it. */
 export type Violation = {readonly rule: Rule; readonly detail: string};
 
-/** Reports a rule that does not hold; the detail is worked out only then. */
+/** Reports an invariant that does not hold; `detail` is computed only then. */
 export function assertRule(holds: boolean, rule: Rule, detail: () => string, report: (violation: Violation) => void): void {
 	if (!holds) {
 		report({rule, detail: detail()});
--- a/src/policy/scheduler/order.ts
+++ b/src/policy/scheduler/order.ts
@@ -1,33 +1,33 @@
 import {type Tier, type WorkspaceName} from '../../model/index.js';
-import {type Waiting} from './ledger.js';
+import {type WaitingReservation} from './reservations.js';
 import {type Context} from './settings.js';
 
 /**
- * Whom a tier serves next: the workspace that is furthest behind, and of its requests the one whose
- * first token is due soonest.
+ * Chooses the request of a tier that is served next: the workspace with the lowest counter, and of its
+ * requests the one with the earliest first-token deadline.
  *
- * Load pattern: more work than slots, with unlike deadlines. Serving by deadline alone fails when
- * there is too much work: the request that is about to be late always goes first, is late all the
- * same, and so makes the next one late. Requests that can't be in time any more therefore come after
- * those that can, also of other workspaces; but only by a bounded number of tokens, so that a workspace
- * whose targets can't be met keeps its share.
+ * This order is made for overload with different deadlines. Earliest deadline first alone fails under
+ * overload: the request that is about to miss its deadline always goes first, misses it
+ * nevertheless, and makes the next one late as well. Requests that can't meet their deadline any more
+ * therefore come after those that can, also those of other workspaces, but only by a bounded number of tokens,
+ * so that a workspace whose deadlines can't be met keeps its share.
  *
- * A request that was preempted goes as far before the others as a late one goes behind: its caller holds
- * half an answer, which is wasted if it has to be refused in the end. The advantage is bounded too, since
- * a workspace above its share must not win back at once the slots that its rivals have taken from it.
+ * A preempted request gets a bonus as large as the penalty for a late one: its caller holds
+ * half a response, which is wasted if the request is refused in the end. The bonus is bounded too, because
+ * a workspace above its share must not win back at once the slots that were preempted for others.
  */
-export function nextOf(waiting: readonly Waiting[], counters: ReadonlyMap<WorkspaceName, number>, latestStart: LatestStart, {now, settings}: Context): Waiting | undefined {
-	let best: Waiting | undefined;
+export function selectNext(waiting: readonly WaitingReservation[], counters: ReadonlyMap<WorkspaceName, number>, latestStart: LatestStart, {now, settings}: Context): WaitingReservation | undefined {
+	let best: WaitingReservation | undefined;
 	let bestRank: readonly number[] = [];
 	for (const candidate of waiting) {
-		const inTime = resumes(candidate) || latestStart(candidate) >= now;
+		const inTime = isResuming(candidate) || latestStart(candidate) >= now;
 		const rank = [
-			(counters.get(candidate.summary.workspace) ?? 0) + (standing(candidate, inTime) * settings.latePenaltyTokens / candidate.summary.weight),
-			resumes(candidate) ? 0 : 1,
+			(counters.get(candidate.summary.workspace) ?? 0) + (penaltyCount(candidate, inTime) * settings.latePenaltyTokens / candidate.summary.weight),
+			isResuming(candidate) ? 0 : 1,
 			inTime ? candidate.dueAt : candidate.sequence,
 			candidate.sequence,
 		];
-		if (best === undefined || isLess(rank, bestRank)) {
+		if (best === undefined || isLexicographicallyLess(rank, bestRank)) {
 			best = candidate;
 			bestRank = rank;
 		}
@@ -36,16 +36,16 @@
 	return best;
 }
 
-/** When a request must start, so that its first token is in time. */
-export type LatestStart = (waiting: Waiting) => number;
+/** When a request must start for its first token to be in time. */
+export type LatestStart = (waiting: WaitingReservation) => number;
 
-/** True if `waiting` belongs to a request that was preempted and resumes. */
-export function resumes({summary}: Waiting): boolean {
+/** True if `waiting` belongs to a request that was preempted and is to resume. */
+export function isResuming({summary}: WaitingReservation): boolean {
 	return (summary.preemptions ?? 0) > 0;
 }
 
-/** The highest tier that waits, or nothing. */
-export function highestWaiting(waiting: Iterable<Waiting>): Tier | undefined {
+/** The highest tier with a waiting request, or undefined. */
+export function highestWaitingTier(waiting: Iterable<WaitingReservation>): Tier | undefined {
 	let highest: Tier | undefined;
 	for (const {summary} of waiting) {
 		if (highest === undefined || summary.tier < highest) {
@@ -56,16 +56,16 @@
 	return highest;
 }
 
-/** How many penalties a request stands behind its workspace's counter. */
-function standing(waiting: Waiting, inTime: boolean): number {
-	if (resumes(waiting)) {
+/** How many penalties are added to the workspace's counter for this request; a bonus is negative. */
+function penaltyCount(waiting: WaitingReservation, inTime: boolean): number {
+	if (isResuming(waiting)) {
 		return -1;
 	}
 
 	return inTime ? 0 : 1;
 }
 
-function isLess(one: readonly number[], other: readonly number[]): boolean {
-	const differing = one.findIndex((value, index) => value !== other[index]);
-	return differing !== -1 && one[differing]! < other[differing]!;
+function isLexicographicallyLess(left: readonly number[], right: readonly number[]): boolean {
+	const differing = left.findIndex((value, index) => value !== right[index]);
+	return differing !== -1 && left[differing]! < right[differing]!;
 }
--- a/src/policy/scheduler/preemption.ts
+++ b/src/policy/scheduler/preemption.ts
@@ -1,26 +1,27 @@
 import {type RequestSummary, type Tier} from '../../model/index.js';
-import {type Ledger, type Occupied, type Waiting} from './ledger.js';
+import {type Reservations, type SlotHolder, type WaitingReservation} from './reservations.js';
 import {type SchedulerSettings} from './settings.js';
 
 /**
- * Whose slot a request takes that would else miss its target: one of the lowest tier below it, and of
- * those the one with the least context, which costs the least to read again when it resumes. If there is
- * none, one of its own tier may have to go, of a workspace that holds more than its share of the slots
- * while the request's own workspace holds less.
+ * Chooses the request that is preempted for one that would miss its target otherwise: of the lowest tier
+ * below it, the request with the smallest context, because that costs least to prefill again on resuming. If
+ * there is none, a request of the same tier may be preempted if its workspace holds more than its share of
+ * the slots while the waiting request's own workspace holds less.
  *
- * Load pattern: a burst of the top tier into slots that long answers of lower tiers hold; or a rival's
- * long answers that hold every slot of a tier. Without preemption the others wait for as long as those
- * answers take, whatever the order of the queue.
+ * This serves a burst of the top tier that finds all slots taken by long responses of lower tiers, and a
+ * workspace that finds every slot of its tier taken by another's long responses. Without preemption these
+ * requests wait until the responses end, whatever the order of the queue.
  *
- * Never upward, never what must not run twice, never a tier's floor share, which would starve the tier.
- * Within a tier each preemption moves both workspaces towards their shares, so two can't take slots from
- * each other in turn. A request is preempted a bounded number of times, so that two tiers can't throw one
- * answer to and fro and spend the endpoint on reading prompts again.
+ * A request is never preempted for a lower tier, never if it must not run twice, and never if it runs in its
+ * tier's floor share, since that would starve the tier. Within a tier each preemption moves both workspaces
+ * towards their shares, so two workspaces can't take slots from each other in turn. The number of preemptions
+ * of a request is bounded, so that two tiers can't preempt the same response again and again and make the
+ * endpoint spend its time on repeated prefill.
  */
-export function victimFor(ledger: Ledger, waiting: Waiting, shares: SlotShares, settings: SchedulerSettings): Occupied | undefined {
-	let victim: Occupied | undefined;
-	for (const candidate of ledger.occupied.values()) {
-		if (mayBePreempted(candidate, waiting, shares, settings) && (victim === undefined || goesFirst(candidate, victim))) {
+export function selectVictim(reservations: Reservations, waiting: WaitingReservation, shares: SlotShares, settings: SchedulerSettings): SlotHolder | undefined {
+	let victim: SlotHolder | undefined;
+	for (const candidate of reservations.holders.values()) {
+		if (mayBePreempted(candidate, waiting, shares, settings) && (victim === undefined || isBetterVictim(candidate, victim))) {
 			victim = candidate;
 		}
 	}
@@ -28,10 +29,10 @@
 	return victim;
 }
 
-/** True if `occupied` may lose its slot to `waiting`. */
-export function mayBePreempted(occupied: Occupied, waiting: Waiting, shares: SlotShares, settings: SchedulerSettings): boolean {
-	const {summary} = occupied;
-	if (!isPreemptible(occupied, settings)) {
+/** True if `holder` may lose its slot to `waiting`. */
+export function mayBePreempted(holder: SlotHolder, waiting: WaitingReservation, shares: SlotShares, settings: SchedulerSettings): boolean {
+	const {summary} = holder;
+	if (!isPreemptible(holder, settings)) {
 		return false;
 	}
 
@@ -39,41 +40,41 @@
 		return summary.tier > waiting.summary.tier;
 	}
 
-	const isLong = occupied.offeredAt < shares.longSince;
-	return settings.preemptsForShare && isLong && isBelowShare(shares, waiting.summary) && isAboveShare(shares, summary);
+	const isLongRunning = holder.offeredAt < shares.longRunCutoff;
+	return settings.preemptsForShare && isLongRunning && isBelowShare(shares, waiting.summary) && isAboveShare(shares, summary);
 }
 
-/** True if a higher tier may preempt it at all. */
-export function isPreemptible({phase, floor, summary}: Occupied, settings: SchedulerSettings): boolean {
-	return phase === 'running' && !floor && summary.idempotent && (summary.preemptions ?? 0) < settings.maximumPreemptions;
+/** True if any request may preempt this slot holder: it runs outside the floor share, may run twice and has been preempted less often than allowed. */
+export function isPreemptible({phase, usesFloorShare, summary}: SlotHolder, settings: SchedulerSettings): boolean {
+	return phase === 'running' && !usesFloorShare && summary.idempotent && (summary.preemptions ?? 0) < settings.maximumPreemptions;
 }
 
-/** True if a new request of this tier finds its slot as good as free. */
-export function givesWayTo(occupied: Occupied, tier: Tier, settings: SchedulerSettings): boolean {
-	return occupied.summary.tier > tier && isPreemptible(occupied, settings);
+/** True if a new request of this tier could preempt the slot holder, so that the slot is available to it. */
+export function canBePreemptedBy(holder: SlotHolder, tier: Tier, settings: SchedulerSettings): boolean {
+	return holder.summary.tier > tier && isPreemptible(holder, settings);
 }
 
-/** How many slots come free by preemptions that are under way. */
-export function stopping(ledger: Ledger): number {
-	return [...ledger.occupied.values()].filter(({phase}) => phase === 'stopping').length;
+/** Counts the slots that will come free by preemptions in progress. */
+export function countStopping(reservations: Reservations): number {
+	return [...reservations.holders.values()].filter(({phase}) => phase === 'stopping').length;
 }
 
-/** What the workspaces of one tier hold, the slots that one weight is worth among them, and how long ago a long run began. */
-export type SlotShares = {readonly held: ReadonlyMap<string, number>; readonly slotsPerWeight: number; readonly longSince: number};
+/** Slots held by each workspace of a tier, the slots per unit of weight among them, and the time before which a run counts as long if it was offered its slot. */
+export type SlotShares = {readonly held: ReadonlyMap<string, number>; readonly slotsPerWeight: number; readonly longRunCutoff: number};
 
-/** Counts the slots that a tier's workspaces hold; what is being preempted counts no more. */
-export function slotShares(ledger: Ledger, {tier}: RequestSummary, slots: number, longSince: number): SlotShares {
+/** Counts the slots that a tier's workspaces hold; slots that are being preempted don't count. */
+export function slotShares(reservations: Reservations, {tier}: RequestSummary, slots: number, longRunCutoff: number): SlotShares {
 	const held = new Map<string, number>();
 	const weights = new Map<string, number>();
-	for (const {summary} of ledger.waiting.values()) {
+	for (const {summary} of reservations.waiting.values()) {
 		if (summary.tier === tier) {
 			weights.set(summary.workspace, summary.weight);
 		}
 	}
 
-	let above = 0;
-	for (const {summary, phase} of ledger.occupied.values()) {
-		above += summary.tier < tier ? 1 : 0;
+	let heldByHigherTiers = 0;
+	for (const {summary, phase} of reservations.holders.values()) {
+		heldByHigherTiers += summary.tier < tier ? 1 : 0;
 		if (summary.tier === tier && phase !== 'stopping') {
 			weights.set(summary.workspace, summary.weight);
 			held.set(summary.workspace, (held.get(summary.workspace) ?? 0) + 1);
@@ -85,7 +86,7 @@
 		weight += one;
 	}
 
-	return {held, slotsPerWeight: (slots - above) / Math.max(weight, Number.MIN_VALUE), longSince};
+	return {held, slotsPerWeight: (slots - heldByHigherTiers) / Math.max(weight, Number.MIN_VALUE), longRunCutoff};
 }
 
 function isBelowShare({held, slotsPerWeight}: SlotShares, {workspace, weight}: RequestSummary): boolean {
@@ -96,7 +97,7 @@
 	return (held.get(workspace) ?? 0) > weight * slotsPerWeight;
 }
 
-function goesFirst(one: Occupied, other: Occupied): boolean {
+function isBetterVictim(one: SlotHolder, other: SlotHolder): boolean {
 	if (one.summary.tier !== other.summary.tier) {
 		return one.summary.tier > other.summary.tier;
 	}
--- a/src/policy/scheduler/refusal.ts
+++ b/src/policy/scheduler/refusal.ts
@@ -1,21 +1,24 @@
 import {FailureKind} from '../../model/index.js';
 import {type SchedulerAction} from './types.js';
 
-/** Why a reservation is refused; each becomes an answer that says "not run" and when to come back. */
+/**
+ * Why a reservation is refused. Each becomes a response that says "not run" and when to retry. `hopeless`: it
+ * is expected to reach its queue timeout before it gets a slot; `lapsed`: its offer was not answered in time.
+ */
 export const RefusalReason = {
 	full: 'full', expired: 'expired', hopeless: 'hopeless', lapsed: 'lapsed', leaving: 'leaving', down: 'down', unknown: 'unknown',
 } as const;
 export type RefusalReason = (typeof RefusalReason)[keyof typeof RefusalReason];
 
-/** Makes the refusal. Never sooner than `leastRetryMilliseconds`, so that a refused caller does not spin. */
+/** Creates a refusal. Its retry delay is at least `minimumRetryMilliseconds`, so that a refused caller does not retry in a tight loop. */
 export function refuse(id: string, reason: RefusalReason, retryAfterMilliseconds: number): SchedulerAction {
-	const {kind, message} = answers[reason];
-	return {type: 'refuse', id, kind, message, retryAfterMilliseconds: Math.ceil(Math.max(leastRetryMilliseconds, retryAfterMilliseconds))};
+	const {kind, message} = responses[reason];
+	return {type: 'refuse', id, kind, message, retryAfterMilliseconds: Math.ceil(Math.max(minimumRetryMilliseconds, retryAfterMilliseconds))};
 }
 
-const leastRetryMilliseconds = 50;
+const minimumRetryMilliseconds = 50;
 
-const answers: Readonly<Record<RefusalReason, {kind: FailureKind; message: string}>> = {
+const responses: Readonly<Record<RefusalReason, {kind: FailureKind; message: string}>> = {
 	[RefusalReason.full]: {kind: FailureKind.queueFull, message: 'The queue is full.'},
 	[RefusalReason.expired]: {kind: FailureKind.queueTimeout, message: 'The request waited as long as its class may.'},
 	[RefusalReason.hopeless]: {kind: FailureKind.queueTimeout, message: 'The request would wait longer than its class may.'},
--- a/src/policy/scheduler/settings.ts
+++ b/src/policy/scheduler/settings.ts
@@ -1,56 +1,56 @@
 import {type Violation} from './invariants.js';
 
 /**
- * The figures of one side's queue. Each says what it trades; the defaults are for an engine whose
- * step takes a few milliseconds, and the bench is where another figure earns its place.
+ * Settings of one side's queue. Each comment names the trade-off; the defaults are for an engine with
+ * decoding steps of a few milliseconds.
  */
 export type SchedulerSettings = {
-	/** How many requests run at once before anything has been measured. */
+	/** Number of slots before anything has been measured. */
 	readonly initialSlots: number;
-	/** One slot always stays, so that the recovery of a slow endpoint is seen. */
+	/** At least one slot always stays, so that the recovery of a slow endpoint is noticed. */
 	readonly minimumSlots: number;
 	readonly maximumSlots: number;
-	/** Places in the queue that all tiers share, lower tiers making room for higher ones. */
+	/** Queue capacity that all tiers share; when it is exhausted, requests of lower tiers are evicted for higher ones. */
 	readonly queueLimit: number;
-	/** Places beyond the shared ones for each lower tier, so that it can wait for its floor share at all. */
-	readonly floorPlaces: number;
-	/** How long an offer keeps its slot: some round trips to the entry, and no more than a short wait for others. */
+	/** Queue positions that each lower tier has in addition to the shared capacity, so that it can wait for its floor share at all. */
+	readonly reservedQueuePositions: number;
+	/** How long an offer keeps its slot: some round trips to the entry, and no more than a short wait for other requests. */
 	readonly holdMilliseconds: number;
-	/** The time between tokens of classes that state none. */
+	/** Target time between tokens for classes that specify none. */
 	readonly betweenTokensMilliseconds: number;
-	/** Over how long a time between tokens is averaged before the slots change. */
+	/** Window over which the time between tokens is averaged before the number of slots changes. */
 	readonly slotWindowMilliseconds: number;
-	/** Slots are added below this part of the target, so that growth stops before the target is missed. */
+	/** Slots are added below this fraction of the target, so that growth stops before the target is missed. */
 	readonly growBelow: number;
-	/** Slots are taken above this part of the target: a mean that is just met is missed by half of the requests. */
+	/** Slots are removed above this fraction of the target: if the mean just meets the target, half of the requests miss it. */
 	readonly shrinkAbove: number;
-	/** Part of the slots that must show tokens before more are added. */
-	readonly feltShare: number;
-	/** What remains of the slots after the target was missed. */
+	/** Fraction of the slots whose requests must be producing tokens before more slots are added. */
+	readonly minimumProducingShare: number;
+	/** The number of slots is multiplied by this after the target was missed. */
 	readonly shrinkFactor: number;
-	/** Memory above which no slot is added, and above which slots are taken. */
+	/** Fraction of the endpoint's memory above which no slot is added, and the one above which slots are removed. */
 	readonly memoryHigh: number;
 	readonly memoryCritical: number;
-	/** Part of the slot time that each tier may take from higher ones, highest tier first. */
+	/** Fraction of the slot time that each tier may take from higher tiers, highest tier first. */
 	readonly floorShares: readonly number[];
-	/** What a token of the prompt counts against one of the answer. */
+	/** Cost of a prompt token relative to a response token. */
 	readonly promptTokenCost: number;
-	/** How many weighted tokens of fair share a request that is late already stands behind those that can be in time. */
+	/** By how many weighted tokens a request that is already late comes after those that can be in time. */
 	readonly latePenaltyTokens: number;
-	/** How often one request may be preempted in its life. */
+	/** How many times one request may be preempted in all. */
 	readonly maximumPreemptions: number;
-	/** True if a workspace below its share of slots may take one from a rival of its tier above it. */
+	/** True if a workspace below its share of slots may preempt a request of a workspace of the same tier that is above its share. */
 	readonly preemptsForShare: boolean;
-	/** Told of every broken rule; the program counts and logs it, a test throws. */
+	/** Called for every invariant that does not hold; the program counts and logs it, a test throws. */
 	readonly onViolation: (violation: Violation) => void;
 };
 
-/** What a decision goes by besides the state: the time, and the settings. */
+/** Inputs of a decision besides the state. `now` is in milliseconds. */
 export type Context = {readonly now: number; readonly settings: SchedulerSettings};
 
-/** Fills in what is not given. */
-export function createSettings(given: Partial<SchedulerSettings> = {}): SchedulerSettings {
-	return {...defaults, ...given};
+/** Completes partial settings with the defaults. */
+export function createSettings(overrides: Partial<SchedulerSettings> = {}): SchedulerSettings {
+	return {...defaults, ...overrides};
 }
 
 const defaults: SchedulerSettings = {
@@ -58,13 +58,13 @@
 	minimumSlots: 1,
 	maximumSlots: 64,
 	queueLimit: 128,
-	floorPlaces: 4,
+	reservedQueuePositions: 4,
 	holdMilliseconds: 250,
 	betweenTokensMilliseconds: 50,
 	slotWindowMilliseconds: 100,
 	growBelow: 0.85,
 	shrinkAbove: 0.95,
-	feltShare: 0.8,
+	minimumProducingShare: 0.8,
 	shrinkFactor: 0.85,
 	memoryHigh: 0.9,
 	memoryCritical: 0.97,
--- a/src/policy/scheduler/slots.ts
+++ b/src/policy/scheduler/slots.ts
@@ -1,50 +1,52 @@
 import {type Context, type SchedulerSettings} from './settings.js';
 
 /**
- * How many requests the endpoint runs at once, by additive increase and multiplicative decrease on the
- * time between tokens against what the running classes can bear.
+ * The number of requests that the endpoint runs at once: additive increase and multiplicative decrease
+ * (AIMD), driven by the time between tokens relative to the target of the running classes.
  *
- * Load pattern: engines of unlike size, a slow endpoint, prompts of unlike length. With a fixed number
- * a small engine misses every target and a large one idles. The engine's own report lags by seconds, so
- * it corrects only what we can't see from here, the memory; the rest is what we sent and received.
+ * It adapts to engines of different sizes, to a slow endpoint and to prompts of different lengths. With a
+ * fixed number a small engine misses every target and a large one is underused. The engine's own report lags
+ * by seconds, so it is used only for memory, which can't be observed from here; everything else follows from
+ * what this side sent and received.
  */
 export type Slots = {
-	/** With a fraction, so that growth may be slower than one slot a window. */
+	/** Fractional, so that growth can be slower than one slot a window. */
 	readonly limit: number;
-	/** Over the window: time between tokens summed, and the number of tokens. */
+	/** Over the window: sum of the times between tokens, and number of tokens. */
 	readonly milliseconds: number;
 	readonly tokens: number;
-	/** The tightest target of a class that ran lately, and when one did last. */
+	/** The tightest target of a class that ran recently, and when such a class last ran. */
 	readonly targetMilliseconds: number;
 	readonly targetSeenAt: number;
 	readonly windowStart: number;
-	/** True if the slots were all taken at some time in the window: only then does more help. */
-	readonly filled: boolean;
+	/** True if all slots were taken at some time in the window; only then does adding slots help. */
+	readonly wasFull: boolean;
 	readonly memoryUsed: number;
-	/** Smoothed time between tokens. */
+	/** Moving average of the time between tokens. */
 	readonly tokenMilliseconds: number;
 };
 
 /** The state before anything was measured. */
-export function initialSlots(settings: SchedulerSettings): Slots {
+export function createSlots(settings: SchedulerSettings): Slots {
 	return {
-		limit: settings.initialSlots, milliseconds: 0, tokens: 0, targetMilliseconds: settings.betweenTokensMilliseconds, targetSeenAt: 0, windowStart: 0, filled: false, memoryUsed: 0, tokenMilliseconds: 0,
+		limit: settings.initialSlots, milliseconds: 0, tokens: 0, targetMilliseconds: settings.betweenTokensMilliseconds, targetSeenAt: 0,
+		windowStart: 0, wasFull: false, memoryUsed: 0, tokenMilliseconds: 0,
 	};
 }
 
-/** Whole slots. */
+/** The number of slots, as an integer. */
 export function slotCount(slots: Slots): number {
 	return Math.floor(slots.limit);
 }
 
-/** Counts tokens in; `milliseconds` passed since the ones before. */
+/** Counts produced tokens; `milliseconds` is the time since the previous ones. */
 export function observeTokens(slots: Slots, tokens: number, milliseconds: number): Slots {
 	if (tokens === 0) {
 		return slots;
 	}
 
 	const each = milliseconds / tokens;
-	const weight = Math.min(1, tokens * learningRate);
+	const weight = Math.min(1, tokens * smoothingFactor);
 	return {
 		...slots,
 		milliseconds: slots.milliseconds + milliseconds,
@@ -53,10 +55,10 @@
 	};
 }
 
-const learningRate = 0.02;
+const smoothingFactor = 0.02;
 
-/** How many requests hold slots, how many of them show tokens, how many should and don't, and the tightest target among them. */
-export type Held = {
+/** How many requests hold slots, how many of them produce tokens, how many are stalled, and the tightest target among them. */
+export type SlotUsage = {
 	readonly occupied: number;
 	readonly producing: number;
 	readonly stalled: number;
@@ -64,36 +66,37 @@
 };
 
 /**
- * Closes the window if it is over, and changes the slots by what it showed. `stalled` of the requests
- * that hold slots have been given to the endpoint and show no token, long after others went on.
+ * Adapts the number of slots to the measurements of the window if it is over, and starts the next one.
+ * `usage.stalled` counts requests that were sent to the endpoint and have produced no token for so long
+ * that others produced many.
  */
-export function adapt(slots: Slots, held: Held, {now, settings}: Context): Slots {
-	const filled = slots.filled || held.occupied >= slotCount(slots);
+export function adaptSlots(slots: Slots, usage: SlotUsage, {now, settings}: Context): Slots {
+	const wasFull = slots.wasFull || usage.occupied >= slotCount(slots);
 	if (now - slots.windowStart < settings.slotWindowMilliseconds) {
-		return filled === slots.filled ? slots : {...slots, filled};
+		return wasFull === slots.wasFull ? slots : {...slots, wasFull};
 	}
 
-	const aimed = {...slots, ...tightest(slots, held, now), filled};
-	const next = nextLimit(aimed, held, settings);
+	const retargeted = {...slots, ...updateTarget(slots, usage, now), wasFull};
+	const next = nextLimit(retargeted, usage, settings);
 	const limit = Math.min(settings.maximumSlots, Math.max(settings.minimumSlots, next));
 	return {
-		...aimed, limit, milliseconds: 0, tokens: 0, windowStart: now, filled: held.occupied >= Math.floor(limit),
+		...retargeted, limit, milliseconds: 0, tokens: 0, windowStart: now, wasFull: usage.occupied >= Math.floor(limit),
 	};
 }
 
-/** How many steps a request that was given to the endpoint may show nothing before it counts as stalled. */
+/** Number of decoding steps without a first token after which a started request counts as stalled. */
 export const stalledAfterSteps = 30;
 
-function nextLimit({limit, milliseconds, tokens, targetMilliseconds, memoryUsed, filled}: Slots, {occupied, producing, stalled}: Held, settings: SchedulerSettings): number {
-	// Shrinks from what is in use, since unused slots did not cause the delay.
-	const used = Math.min(limit, Math.max(occupied, 1));
+function nextLimit({limit, milliseconds, tokens, targetMilliseconds, memoryUsed, wasFull}: Slots, {occupied, producing, stalled}: SlotUsage, settings: SchedulerSettings): number {
+	// Shrinks from the slots in use, since unused slots did not cause the delay.
+	const inUse = Math.min(limit, Math.max(occupied, 1));
 	if (memoryUsed >= settings.memoryCritical) {
-		return used * settings.shrinkFactor;
+		return inUse * settings.shrinkFactor;
 	}
 
 	if (stalled > 0) {
-		// The endpoint keeps them in a queue of its own, which knows neither workspaces nor deadlines.
-		return used - stalled;
+		// The endpoint holds them in its own queue, which has neither workspaces nor deadlines.
+		return inUse - stalled;
 	}
 
 	if (tokens === 0) {
@@ -102,30 +105,31 @@
 
 	const ratio = milliseconds / tokens / targetMilliseconds;
 	if (ratio > settings.shrinkAbove) {
-		return used * settings.shrinkFactor;
+		return inUse * settings.shrinkFactor;
 	}
 
-	// The endpoint has not felt the slots added last while their requests show no token yet.
-	const isFelt = producing >= settings.feltShare * limit;
-	return filled && isFelt && memoryUsed < settings.memoryHigh ? limit + growth(limit, ratio, settings) : limit;
+	// While the requests in the slots added last produce no tokens, those slots have no effect on the measured time yet.
+	const areSlotsProducing = producing >= settings.minimumProducingShare * limit;
+	return wasFull && areSlotsProducing && memoryUsed < settings.memoryHigh ? limit + slotGrowth(limit, ratio, settings) : limit;
 }
 
 /**
- * All that runs shares each step, so the tightest class sets the pace, also for some seconds after its
- * last request: the next one would else find the endpoint crowded by classes that can bear more.
+ * All running requests share each decoding step, so the class with the tightest target sets the limit, and
+ * does so for some seconds after its last request: otherwise its next request finds the endpoint crowded by
+ * classes with looser targets.
  */
-function tightest({targetMilliseconds, targetSeenAt}: Slots, {occupied, tightestMilliseconds}: Held, now: number): Pick<Slots, 'targetMilliseconds' | 'targetSeenAt'> {
-	const isForgotten = now - targetSeenAt > targetMemoryMilliseconds;
-	if (occupied > 0 && (isForgotten || tightestMilliseconds <= targetMilliseconds)) {
+function updateTarget({targetMilliseconds, targetSeenAt}: Slots, {occupied, tightestMilliseconds}: SlotUsage, now: number): Pick<Slots, 'targetMilliseconds' | 'targetSeenAt'> {
+	const isExpired = now - targetSeenAt > targetLifetimeMilliseconds;
+	if (occupied > 0 && (isExpired || tightestMilliseconds <= targetMilliseconds)) {
 		return {targetMilliseconds: tightestMilliseconds, targetSeenAt: now};
 	}
 
 	return {targetMilliseconds, targetSeenAt};
 }
 
-const targetMemoryMilliseconds = 10_000;
+const targetLifetimeMilliseconds = 10_000;
 
-/** One slot near the target; far below it more, so that a burst does not wait out dozens of windows. */
-function growth(limit: number, ratio: number, {growBelow}: SchedulerSettings): number {
+/** Slots to add: one near the target, more far below it, so that a burst does not wait for dozens of windows. */
+function slotGrowth(limit: number, ratio: number, {growBelow}: SchedulerSettings): number {
 	return ratio >= growBelow ? 0 : Math.max(1, limit * 0.5 * (1 - (ratio / growBelow)));
 }
--- a/src/policy/scheduler/tiered-events.ts
+++ b/src/policy/scheduler/tiered-events.ts
@@ -1,20 +1,20 @@
 import {type RequestSummary} from '../../model/index.js';
-import {evictionFor, noLowerTierShares} from './admission.js';
-import {countDeparture, expectedWait, retryAfter} from './drain.js';
-import {join, leaveSlot} from './fairness.js';
-import {countStart, learnHold} from './headroom.js';
+import {selectEviction, noLowerTierUsesSharedCapacity} from './admission.js';
+import {countDeparture, expectedWait, retryAfter} from './departure-rates.js';
+import {raiseToVirtualTime, chargeEnded} from './fairness.js';
+import {countStart, observeSlotTime} from './headroom.js';
 import {assertRule, Rule} from './invariants.js';
-import {enqueue, type Occupied, quiet, remove, update, type Waiting, waitingIn} from './ledger.js';
+import {enqueue, type SlotHolder, withoutActions, remove, updateHolder, type WaitingReservation, waitingInTier} from './reservations.js';
 import {refuse, RefusalReason} from './refusal.js';
 import {type Context, type SchedulerSettings} from './settings.js';
 import {observeTokens} from './slots.js';
-import {isOpen, noteTurn, type TieredState} from './tiered-state.js';
+import {isOpen, setUnservedSince, type TieredState} from './tiered-state.js';
 import {type SchedulerEvent, type SchedulerStep} from './types.js';
 
 type Step = SchedulerStep<TieredState>;
 type EventOf<Type extends SchedulerEvent['type']> = Extract<SchedulerEvent, {type: Type}>;
 
-/** Takes one event in, before any decision that follows from it. */
+/** Applies an event to the state, before the decisions that follow from it. */
 export function apply(state: TieredState, event: SchedulerEvent, context: Context): Step {
 	const {now} = context;
 	switch (event.type) {
@@ -23,7 +23,7 @@
 		}
 
 		case 'withdrawn': {
-			return quiet(withdraw(state, event.id, context));
+			return withoutActions(withdraw(state, event.id, context));
 		}
 
 		case 'started': {
@@ -31,19 +31,19 @@
 		}
 
 		case 'progressed': {
-			return quiet(progress(state, event, now));
+			return withoutActions(progress(state, event, now));
 		}
 
 		case 'finished': {
-			return quiet(finish(state, event, context));
+			return withoutActions(finish(state, event, context));
 		}
 
 		case 'reported': {
-			return quiet({...state, slots: {...state.slots, memoryUsed: event.memoryUsed}});
+			return withoutActions({...state, slots: {...state.slots, memoryUsed: event.memoryUsed}});
 		}
 
 		case 'endpoint': {
-			return event.up ? quiet({...state, up: true}) : refuseAll({...state, up: false}, RefusalReason.down);
+			return event.up ? withoutActions({...state, up: true}) : refuseAll({...state, up: false}, RefusalReason.down);
 		}
 
 		case 'leaving': {
@@ -51,7 +51,7 @@
 		}
 
 		case 'tick': {
-			return quiet(state);
+			return withoutActions(state);
 		}
 	}
 }
@@ -61,104 +61,109 @@
 		return {state, actions: [refuse(id, state.leaving ? RefusalReason.leaving : RefusalReason.down, 0)]};
 	}
 
-	const {ledger} = state;
-	const wait = expectedWait(state.drain, ledger, summary, now);
+	const {reservations} = state;
+	const wait = expectedWait(state.departureRates, reservations, summary, now);
 	if (wait > summary.queueMilliseconds) {
 		return {state, actions: [refuse(id, RefusalReason.hopeless, wait - summary.queueMilliseconds)]};
 	}
 
-	const joined = enqueue(ledger, id, summary, now);
-	const arrival = joined.waiting.get(id);
-	if (joined === ledger || arrival === undefined) {
-		return quiet(state);
+	const enqueued = enqueue(reservations, id, summary, now);
+	const arrival = enqueued.waiting.get(id);
+	if (enqueued === reservations || arrival === undefined) {
+		return withoutActions(state);
 	}
 
-	const begins = waitingIn(ledger, summary.tier).length === 0;
-	const next = {...state, ledger: joined, fairness: join(state.fairness, ledger, summary, settings)};
-	return evict(begins ? noteTurn(next, summary.tier, now) : next, arrival, settings);
+	const isFirstInTier = waitingInTier(reservations, summary.tier).length === 0;
+	const next = {...state, reservations: enqueued, fairness: raiseToVirtualTime(state.fairness, reservations, summary, settings)};
+	return evict(isFirstInTier ? setUnservedSince(next, summary.tier, now) : next, arrival, settings);
 }
 
-/** Makes room again if the arrival has overfilled the queue. */
-function evict(state: TieredState, arrival: Waiting, settings: SchedulerSettings): Step {
-	const before = remove(state.ledger, arrival.id);
-	const evicted = evictionFor(before, arrival, settings);
+/** Evicts a request if the arrival has exceeded the queue's capacity. */
+function evict(state: TieredState, arrival: WaitingReservation, settings: SchedulerSettings): Step {
+	const before = remove(state.reservations, arrival.id);
+	const evicted = selectEviction(before, arrival, settings);
 	if (evicted === undefined) {
-		return quiet(state);
+		return withoutActions(state);
 	}
 
-	assertRule(noLowerTierShares(state.ledger, evicted.summary, settings), Rule.higherTierFirst, () => `tier ${evicted.summary.tier} refused for room that a lower tier holds`, settings.onViolation);
-	const after = retryAfter(state.drain, state.ledger, evicted.summary.tier);
-	return {state: {...state, ledger: remove(state.ledger, evicted.id)}, actions: [refuse(evicted.id, RefusalReason.full, after)]};
+	assertRule(
+		noLowerTierUsesSharedCapacity(state.reservations, evicted.summary, settings),
+		Rule.higherTierFirst,
+		() => `tier ${evicted.summary.tier} refused while a lower tier uses shared queue capacity`,
+		settings.onViolation,
+	);
+	const retryMilliseconds = retryAfter(state.departureRates, state.reservations, evicted.summary.tier);
+	return {state: {...state, reservations: remove(state.reservations, evicted.id)}, actions: [refuse(evicted.id, RefusalReason.full, retryMilliseconds)]};
 }
 
 function withdraw(state: TieredState, id: string, context: Context): TieredState {
-	const waiting = state.ledger.waiting.get(id);
+	const waiting = state.reservations.waiting.get(id);
 	if (waiting === undefined) {
-		const occupied = state.ledger.occupied.get(id);
-		return occupied === undefined ? state : free(state, occupied, false, context);
+		const holder = state.reservations.holders.get(id);
+		return holder === undefined ? state : releaseSlot(state, holder, false, context);
 	}
 
-	const ledger = remove(state.ledger, id);
-	return {...state, ledger, drain: countDeparture(state.drain, waiting.summary, ledger)};
+	const reservations = remove(state.reservations, id);
+	return {...state, reservations, departureRates: countDeparture(state.departureRates, waiting.summary, reservations)};
 }
 
 function start(state: TieredState, id: string, now: number): Step {
-	const offered = state.ledger.occupied.get(id);
+	const offered = state.reservations.holders.get(id);
 	if (offered === undefined) {
-		// The body crossed with a refusal or a lapsed offer; running it would break the word given.
+		// The body crossed with a refusal or an expired offer; running it would contradict the refusal, which said "not run".
 		return {state, actions: [refuse(id, RefusalReason.unknown, 0)]};
 	}
 
-	return quiet({
+	return withoutActions({
 		...state,
-		ledger: update(state.ledger, {...offered, phase: 'running', startedAt: now}),
+		reservations: updateHolder(state.reservations, {...offered, phase: 'running', startedAt: now}),
 		headroom: countStart(state.headroom, offered.summary, now),
 	});
 }
 
 function progress(state: TieredState, {id, tokens, milliseconds}: EventOf<'progressed'>, now: number): TieredState {
-	const occupied = state.ledger.occupied.get(id);
-	if (occupied === undefined) {
+	const holder = state.reservations.holders.get(id);
+	if (holder === undefined) {
 		return state;
 	}
 
-	const ledger = update(state.ledger, {...occupied, tokens: occupied.tokens + tokens});
-	if (occupied.tokens === 0) {
-		return {...state, ledger, firstTokenMilliseconds: learnFirstToken(state.firstTokenMilliseconds, now - occupied.offeredAt)};
+	const reservations = updateHolder(state.reservations, {...holder, tokens: holder.tokens + tokens});
+	if (holder.tokens === 0) {
+		return {...state, reservations, firstTokenMilliseconds: updateFirstTokenTime(state.firstTokenMilliseconds, now - holder.offeredAt)};
 	}
 
-	return {...state, ledger, slots: observeTokens(state.slots, tokens, milliseconds)};
+	return {...state, reservations, slots: observeTokens(state.slots, tokens, milliseconds)};
 }
 
-/** Rises at once and falls slowly: an estimate that is too short costs a missed target. */
-function learnFirstToken(usual: number, seen: number): number {
-	const rate = seen > usual ? 0.3 : 0.05;
-	return usual + ((seen - usual) * rate);
+/** Moving average that rises fast and falls slowly: an estimate that is too low costs a missed target. */
+function updateFirstTokenTime(average: number, observed: number): number {
+	const rate = observed > average ? 0.3 : 0.05;
+	return average + ((observed - average) * rate);
 }
 
 function finish(state: TieredState, {id, outcome}: EventOf<'finished'>, context: Context): TieredState {
-	const occupied = state.ledger.occupied.get(id);
-	return occupied === undefined ? state : free(state, occupied, outcome === 'whole', context);
+	const holder = state.reservations.holders.get(id);
+	return holder === undefined ? state : releaseSlot(state, holder, outcome === 'whole', context);
 }
 
-function free(state: TieredState, occupied: Occupied, whole: boolean, {now, settings}: Context): TieredState {
+function releaseSlot(state: TieredState, holder: SlotHolder, isComplete: boolean, {now, settings}: Context): TieredState {
 	return {
 		...state,
-		ledger: remove(state.ledger, occupied.id),
-		fairness: occupied.phase === 'offered' ? state.fairness : leaveSlot(state.fairness, occupied, whole, settings),
-		headroom: whole ? learnHold(state.headroom, occupied, now) : state.headroom,
-		longestMilliseconds: Math.max(state.longestMilliseconds, now - occupied.offeredAt),
-		reserved: state.reserved + (occupied.phase === 'stopping' ? 1 : 0),
+		reservations: remove(state.reservations, holder.id),
+		fairness: holder.phase === 'offered' ? state.fairness : chargeEnded(state.fairness, holder, isComplete, settings),
+		headroom: isComplete ? observeSlotTime(state.headroom, holder, now) : state.headroom,
+		longestSlotMilliseconds: Math.max(state.longestSlotMilliseconds, now - holder.offeredAt),
+		preemptedSlots: state.preemptedSlots + (holder.phase === 'stopping' ? 1 : 0),
 	};
 }
 
 function refuseAll(state: TieredState, reason: RefusalReason): Step {
-	const offered = [...state.ledger.occupied.values()].filter(({phase}) => phase === 'offered');
-	const ids = [...state.ledger.waiting.keys(), ...offered.map(({id}) => id)];
-	let {ledger} = state;
+	const offered = [...state.reservations.holders.values()].filter(({phase}) => phase === 'offered');
+	const ids = [...state.reservations.waiting.keys(), ...offered.map(({id}) => id)];
+	let {reservations} = state;
 	for (const id of ids) {
-		ledger = remove(ledger, id);
+		reservations = remove(reservations, id);
 	}
 
-	return {state: {...state, ledger, turnAt: state.turnAt.map(() => undefined)}, actions: ids.map(id => refuse(id, reason, 0))};
+	return {state: {...state, reservations, unservedSince: state.unservedSince.map(() => undefined)}, actions: ids.map(id => refuse(id, reason, 0))};
 }
--- a/src/policy/scheduler/tiered-state.ts
+++ b/src/policy/scheduler/tiered-state.ts
@@ -1,47 +1,47 @@
 import {type Tier} from '../../model/index.js';
-import {type Drain, freshDrain} from './drain.js';
-import {evenFairness, type Fairness} from './fairness.js';
-import {type Floor, freshFloor} from './floor.js';
+import {type DepartureRates, initialDepartureRates} from './departure-rates.js';
+import {initialFairness, type Fairness} from './fairness.js';
+import {type FloorState, initialFloor} from './floor.js';
 import {type Headroom} from './headroom.js';
-import {emptyLedger, type Ledger, type Occupied, type Waiting} from './ledger.js';
+import {emptyReservations, type Reservations, type SlotHolder, type WaitingReservation} from './reservations.js';
 import {type SchedulerSettings} from './settings.js';
-import {initialSlots, slotCount, type Slots, stalledAfterSteps} from './slots.js';
+import {createSlots, slotCount, type Slots, stalledAfterSteps} from './slots.js';
 
-/** All that the tiered queue of one side knows. */
+/** The state of the tiered scheduler of one side. Times are in milliseconds. */
 export type TieredState = {
-	readonly ledger: Ledger;
+	readonly reservations: Reservations;
 	readonly fairness: Fairness;
-	readonly floor: Floor;
-	readonly drain: Drain;
+	readonly floor: FloorState;
+	readonly departureRates: DepartureRates;
 	readonly slots: Slots;
 	readonly headroom: Headroom;
-	/** Usual time from an offer to the first token. */
+	/** Moving average of the time from an offer to the first token. */
 	readonly firstTokenMilliseconds: number;
-	/** The longest that a request has held a slot. */
-	readonly longestMilliseconds: number;
-	/** Slots that preemptions have freed in this step, and that no floor turn may take. */
-	readonly reserved: number;
-	/** By tier: when it last got an offer, or began to wait for one. */
-	readonly turnAt: ReadonlyArray<number | undefined>;
-	readonly passedAt: number;
+	/** The longest time that a request has held a slot. */
+	readonly longestSlotMilliseconds: number;
+	/** Slots freed by preemption in this step, which must not be given to a tier's floor share. */
+	readonly preemptedSlots: number;
+	/** By tier: when it last got an offer or its queue became non-empty; undefined while nothing waits. */
+	readonly unservedSince: ReadonlyArray<number | undefined>;
+	readonly advancedAt: number;
 	readonly leaving: boolean;
 	readonly up: boolean;
 };
 
-/** The state of a side that has seen nothing yet. */
+/** The initial state. */
 export function createState(settings: SchedulerSettings): TieredState {
 	return {
-		ledger: emptyLedger,
-		fairness: evenFairness,
-		floor: freshFloor,
-		drain: freshDrain,
-		slots: initialSlots(settings),
+		reservations: emptyReservations,
+		fairness: initialFairness,
+		floor: initialFloor,
+		departureRates: initialDepartureRates,
+		slots: createSlots(settings),
 		headroom: new Map(),
 		firstTokenMilliseconds: 0,
-		longestMilliseconds: 0,
-		reserved: 0,
-		turnAt: [undefined, undefined, undefined],
-		passedAt: Number.NEGATIVE_INFINITY,
+		longestSlotMilliseconds: 0,
+		preemptedSlots: 0,
+		unservedSince: [undefined, undefined, undefined],
+		advancedAt: Number.NEGATIVE_INFINITY,
 		leaving: false,
 		up: true,
 	};
@@ -52,39 +52,39 @@
 	return !leaving && up;
 }
 
-/** How many more requests may start now. */
-export function freeSlots({slots, ledger}: TieredState): number {
-	return slotCount(slots) - ledger.occupied.size;
+/** How many more requests may start now; negative after slots were removed. */
+export function freeSlots({slots, reservations}: TieredState): number {
+	return slotCount(slots) - reservations.holders.size;
 }
 
 /** When a request must get its slot for its first token to be in time. */
-export function latestStart({firstTokenMilliseconds}: TieredState, {dueAt}: Waiting): number {
+export function latestStart({firstTokenMilliseconds}: TieredState, {dueAt}: WaitingReservation): number {
 	return dueAt - firstTokenMilliseconds;
 }
 
-/** The longest that any request has held a slot, those that run now included. */
-export function longestHeld({ledger, longestMilliseconds}: TieredState, now: number): number {
-	return Math.max(longestMilliseconds, ...[...ledger.occupied.values()].map((occupied: Occupied) => now - occupied.offeredAt));
+/** The longest time that any request has held a slot, including requests that still hold one. */
+export function longestSlotTime({reservations, longestSlotMilliseconds}: TieredState, now: number): number {
+	return Math.max(longestSlotMilliseconds, ...[...reservations.holders.values()].map((holder: SlotHolder) => now - holder.offeredAt));
 }
 
-/** Notes that a tier begins to wait, or got a turn. */
-export function noteTurn(state: TieredState, tier: Tier, at: number | undefined): TieredState {
-	return {...state, turnAt: state.turnAt.with(tier, at)};
+/** Sets the time since which a tier has waited for an offer. */
+export function setUnservedSince(state: TieredState, tier: Tier, at: number | undefined): TieredState {
+	return {...state, unservedSince: state.unservedSince.with(tier, at)};
 }
 
-/** The shortest time between tokens that a request in a slot can bear. */
-export function tightestTarget({ledger}: TieredState, settings: SchedulerSettings): number {
-	return Math.min(...[...ledger.occupied.values()].map(({summary}) => summary.betweenTokensMilliseconds ?? settings.betweenTokensMilliseconds));
+/** The shortest target time between tokens among the slot holders. */
+export function tightestTarget({reservations}: TieredState, settings: SchedulerSettings): number {
+	return Math.min(...[...reservations.holders.values()].map(({summary}) => summary.betweenTokensMilliseconds ?? settings.betweenTokensMilliseconds));
 }
 
-/** Running requests that have shown a token. */
-export function countProducing({ledger}: TieredState): number {
-	return [...ledger.occupied.values()].filter(({tokens}) => tokens > 0).length;
+/** Number of slot holders that have produced a token. */
+export function countProducing({reservations}: TieredState): number {
+	return [...reservations.holders.values()].filter(({tokens}) => tokens > 0).length;
 }
 
-/** Running requests that should have shown a token long ago, going by how fast the others go on. */
-export function countStalled({ledger, slots, firstTokenMilliseconds}: TieredState, now: number): number {
-	const patience = Math.max(stalledAfterSteps * slots.tokenMilliseconds, 2 * firstTokenMilliseconds);
-	const running = [...ledger.occupied.values()].filter(({phase}) => phase === 'running');
-	return patience === 0 ? 0 : running.filter(({tokens, startedAt}) => tokens === 0 && now - startedAt > patience).length;
+/** Number of running requests that should have produced a token long ago, compared with the token rate of the others. */
+export function countStalled({reservations, slots, firstTokenMilliseconds}: TieredState, now: number): number {
+	const stallMilliseconds = Math.max(stalledAfterSteps * slots.tokenMilliseconds, 2 * firstTokenMilliseconds);
+	const running = [...reservations.holders.values()].filter(({phase}) => phase === 'running');
+	return stallMilliseconds === 0 ? 0 : running.filter(({tokens, startedAt}) => tokens === 0 && now - startedAt > stallMilliseconds).length;
 }
--- a/src/policy/scheduler/tiered.ts
+++ b/src/policy/scheduler/tiered.ts
@@ -1,34 +1,34 @@
 import {tiers} from '../../model/index.js';
-import {elapse} from './drain.js';
-import {accrue} from './floor.js';
-import {andThen, waitingIn} from './ledger.js';
-import {givesWayTo} from './preemption.js';
+import {advanceDepartureRates} from './departure-rates.js';
+import {accrueCredits} from './floor.js';
+import {andThen, waitingInTier} from './reservations.js';
+import {canBePreemptedBy} from './preemption.js';
 import {type Context, createSettings, type SchedulerSettings} from './settings.js';
-import {adapt, slotCount} from './slots.js';
+import {adaptSlots, slotCount} from './slots.js';
 import {apply} from './tiered-events.js';
 import {expire, offerSlots, preempt} from './tiered-decisions.js';
 import {countProducing, countStalled, createState, tightestTarget, type TieredState} from './tiered-state.js';
 import {type Scheduler, type SchedulerEvent, type SchedulerStep} from './types.js';
 
 /**
- * The queue of one side: tiers in strict order but for a bounded floor share, fair between workspaces
- * within a tier, deadlines within a workspace, slots that follow the time between tokens, preemption
- * where a target would else be missed, and an answer at once for whatever can't be served in time.
+ * The scheduler of one side (the sidecar process of one endpoint): strict priority of tiers except for a bounded floor share, weighted fair
+ * queuing between the workspaces of a tier, deadlines within a workspace, a number of slots that adapts to the
+ * time between tokens, preemption where a target would be missed otherwise, and an immediate refusal of
+ * requests that can't be served in time.
  *
- * Each of these is a module of its own; this one says in which order they act. First time passes, then
- * the event is taken in, then what is out of time goes, then slots are offered, and only what still
- * finds none may preempt.
+ * Each of these has a module of its own; this one determines their order: advance time, apply the event,
+ * remove what has timed out, offer slots, and preempt only for requests that still have none.
  */
-export function createTieredScheduler(given: Partial<SchedulerSettings> = {}): Scheduler<TieredState> {
-	const settings = createSettings(given);
+export function createTieredScheduler(overrides: Partial<SchedulerSettings> = {}): Scheduler<TieredState> {
+	const settings = createSettings(overrides);
 	return {
 		create: () => createState(settings),
 		step: (state, event, now) => step(state, event, {now, settings}),
-		view: ({slots, ledger, leaving}) => ({
+		view: ({slots, reservations, leaving}) => ({
 			slots: slotCount(slots),
-			running: ledger.occupied.size,
-			firm: tiers.map(tier => [...ledger.occupied.values()].filter(occupied => !givesWayTo(occupied, tier, settings)).length),
-			waiting: tiers.map(tier => waitingIn(ledger, tier).length),
+			running: reservations.holders.size,
+			firm: tiers.map(tier => [...reservations.holders.values()].filter(holder => !canBePreemptedBy(holder, tier, settings)).length),
+			waiting: tiers.map(tier => waitingInTier(reservations, tier).length),
 			tokenMilliseconds: slots.tokenMilliseconds,
 			leaving,
 		}),
@@ -36,12 +36,12 @@
 }
 
 function step(state: TieredState, event: SchedulerEvent, context: Context): SchedulerStep<TieredState> {
-	const applied = apply(passTime(state, context), event, context);
+	const applied = apply(advanceTime(state, context), event, context);
 	switch (event.type) {
 		case 'progressed':
 		case 'reported':
 		case 'started': {
-			// These free no slot, and tokens come by the thousand; the next tick does what else is due.
+			// These free no slot, and token events come by the thousand; the next tick does whatever else is due.
 			return applied;
 		}
 
@@ -65,22 +65,22 @@
 
 function offerAll(step: SchedulerStep<TieredState>, context: Context): SchedulerStep<TieredState> {
 	const {state, actions} = andThen(step, next => offerSlots(next, context));
-	return {state: state.reserved === 0 ? state : {...state, reserved: 0}, actions};
+	return {state: state.preemptedSlots === 0 ? state : {...state, preemptedSlots: 0}, actions};
 }
 
-/** How finely time is taken note of: finer brings nothing but work. */
-const grainMilliseconds = 10;
+/** Time advances in steps of at least this size; a smaller step only adds work. */
+const timeStepMilliseconds = 10;
 
-function passTime(state: TieredState, context: Context): TieredState {
+function advanceTime(state: TieredState, context: Context): TieredState {
 	const {now} = context;
-	if (now < state.passedAt + grainMilliseconds) {
+	if (now < state.advancedAt + timeStepMilliseconds) {
 		return state;
 	}
 
-	const {ledger} = state;
-	const held = {occupied: ledger.occupied.size, producing: countProducing(state), stalled: countStalled(state, now), tightestMilliseconds: tightestTarget(state, context.settings)};
-	const slots = adapt(state.slots, held, context);
+	const {reservations} = state;
+	const usage = {occupied: reservations.holders.size, producing: countProducing(state), stalled: countStalled(state, now), tightestMilliseconds: tightestTarget(state, context.settings)};
+	const slots = adaptSlots(state.slots, usage, context);
 	return {
-		...state, slots, passedAt: now, floor: accrue(state.floor, ledger, slotCount(slots), context), drain: elapse(state.drain, ledger, now),
+		...state, slots, advancedAt: now, floor: accrueCredits(state.floor, reservations, slotCount(slots), context), departureRates: advanceDepartureRates(state.departureRates, reservations, now),
 	};
 }
--- a/test/policy/scheduler/arbitraries.ts
+++ b/test/policy/scheduler/arbitraries.ts
@@ -2,17 +2,17 @@
 import {type RequestSummary, type Tier} from '../../../src/model/index.js';
 import {type Outcome, type SchedulerEvent} from '../../../src/policy/scheduler/index.js';
 
-/** Makes the summary of a request; what is not given is usual. */
-export function createSummary(given: Partial<Record<keyof RequestSummary, unknown>> = {}): RequestSummary {
+/** Creates the summary of a request, with defaults for what is not given. */
+export function createSummary(overrides: Partial<Record<keyof RequestSummary, unknown>> = {}): RequestSummary {
 	const summary = {
 		id: 'request', workspace: 'studio', weight: 1, className: 'chart', tier: 1, target: 'model', idempotent: true,
-		firstTokenMilliseconds: 400, queueMilliseconds: 4000, promptTokens: 20, fingerprint: 'fingerprint', prefix: 'prefix', ...given,
+		firstTokenMilliseconds: 400, queueMilliseconds: 4000, promptTokens: 20, fingerprint: 'fingerprint', prefix: 'prefix', ...overrides,
 	};
 	return summary as RequestSummary;
 }
 
-/** What a caller of the queue does next; `pick` chooses among the reservations that it may be done to. */
-export type Deed
+/** An operation on the scheduler; `pick` selects one of the reservations to which it can be applied. */
+export type Operation
 	= | {readonly type: 'arrive'; readonly summary: RequestSummary}
 		| {readonly type: 'withdraw' | 'start' | 'progress' | 'finish'; readonly pick: number; readonly tokens: number; readonly outcome: Outcome}
 		| {readonly type: 'event'; readonly event: SchedulerEvent};
@@ -26,7 +26,7 @@
 	queueMilliseconds: fc.constantFrom(100, 1000, 20_000),
 	promptTokens: fc.integer({min: 0, max: 300}),
 	preemptions: fc.constantFrom(undefined, 1, 2),
-}).map(given => createSummary(given));
+}).map(overrides => createSummary(overrides));
 
 const event: fc.Arbitrary<SchedulerEvent> = fc.oneof(
 	{weight: 8, arbitrary: fc.constant<SchedulerEvent>({type: 'tick'})},
@@ -34,10 +34,10 @@
 	{weight: 1, arbitrary: fc.record({type: fc.constant('endpoint' as const), up: fc.boolean()})},
 );
 
-/** Sequences of deeds, each after some milliseconds; arrivals outnumber ends, so that queues fill. */
-export const deeds = fc.array(fc.record({
+/** Sequences of operations, each after some milliseconds. Arrivals outnumber ends, so that queues fill. */
+export const operations = fc.array(fc.record({
 	afterMilliseconds: fc.constantFrom(0, 0, 1, 5, 30, 200),
-	deed: fc.oneof(
+	operation: fc.oneof(
 		{weight: 10, arbitrary: fc.record({type: fc.constant('arrive' as const), summary})},
 		{weight: 8, arbitrary: fc.record({
 			type: fc.constantFrom('withdraw' as const, 'start' as const, 'start' as const, 'progress' as const, 'progress' as const, 'finish' as const),
--- a/test/policy/scheduler/properties.test.ts
+++ b/test/policy/scheduler/properties.test.ts
@@ -2,21 +2,21 @@
 import tap from 'tap';
 import {type RequestId, type RequestSummary} from '../../../src/model/index.js';
 import {createSettings, createFifoScheduler, type Scheduler, type SchedulerAction, type SchedulerEvent, createTieredScheduler} from '../../../src/policy/scheduler/index.js';
-import {type Deed, deeds} from './arbitraries.js';
+import {type Operation, operations} from './arbitraries.js';
 
-type Place = 'waiting' | 'offered' | 'running' | 'stopping';
-type Known = {place: Place; summary: RequestSummary; since: number};
+type Phase = 'waiting' | 'offered' | 'running' | 'stopping';
+type TrackedReservation = {phase: Phase; summary: RequestSummary; since: number};
 
-/** Plays deeds against a queue, keeps its own books and throws at the first action that they forbid. */
-class Player<State> {
-	static create<State>(scheduler: Scheduler<State>): Player<State> {
-		return new Player(scheduler);
+/** Applies operations to a scheduler, tracks every reservation in a model of its own and throws at the first action that the model forbids. */
+class SchedulerModel<State> {
+	static create<State>(scheduler: Scheduler<State>): SchedulerModel<State> {
+		return new SchedulerModel(scheduler);
 	}
 
 	now = 0;
-	readonly known = new Map<string, Known>();
-	answered = 0;
-	private open = true;
+	readonly tracked = new Map<string, TrackedReservation>();
+	refusals = 0;
+	private isOpen = true;
 	private state: State;
 	private count = 0;
 
@@ -24,19 +24,19 @@
 		this.state = scheduler.create();
 	}
 
-	play(deed: Deed): void {
-		switch (deed.type) {
+	apply(operation: Operation): void {
+		switch (operation.type) {
 			case 'arrive': {
 				const id = `reservation-${this.count++}`;
-				const summary = {...deed.summary, id: id as RequestId};
-				this.known.set(id, {place: 'waiting', summary, since: this.now});
+				const summary = {...operation.summary, id: id as RequestId};
+				this.tracked.set(id, {phase: 'waiting', summary, since: this.now});
 				this.step({type: 'arrived', id, summary});
 				return;
 			}
 
 			case 'event': {
-				this.open = deed.event.type === 'endpoint' ? deed.event.up : this.open;
-				this.step(deed.event);
+				this.isOpen = operation.event.type === 'endpoint' ? operation.event.up : this.isOpen;
+				this.step(operation.event);
 				return;
 			}
 
@@ -44,7 +44,7 @@
 			case 'start':
 			case 'progress':
 			case 'finish': {
-				this.playOn(deed);
+				this.applyToReservation(operation);
 			}
 		}
 	}
@@ -57,123 +57,123 @@
 		}
 
 		const view = this.scheduler.view(state);
-		const places = [...this.known.values()].map(({place}) => place);
-		const waiting = places.filter(place => place === 'waiting').length;
-		equal(view.waiting[0]! + view.waiting[1]! + view.waiting[2]!, waiting, 'waiting');
-		equal(view.running, places.length - waiting, 'holding slots');
+		const phases = [...this.tracked.values()].map(({phase}) => phase);
+		const waiting = phases.filter(phase => phase === 'waiting').length;
+		equal(view.waiting[0]! + view.waiting[1]! + view.waiting[2]!, waiting, 'number of waiting reservations');
+		equal(view.running, phases.length - waiting, 'number of slot holders');
 	}
 
-	leave(): void {
-		this.open = false;
+	drain(): void {
+		this.isOpen = false;
 		this.step({type: 'leaving'});
 	}
 
-	private playOn(deed: Exclude<Deed, {type: 'arrive' | 'event'}>): void {
-		const wanted: Record<typeof deed.type, readonly Place[]> = {
+	private applyToReservation(operation: Exclude<Operation, {type: 'arrive' | 'event'}>): void {
+		const allowedPhases: Record<typeof operation.type, readonly Phase[]> = {
 			withdraw: ['waiting', 'offered'], start: ['offered'], progress: ['running', 'stopping'], finish: ['running', 'stopping'],
 		};
-		const candidates = [...this.known].filter(([, {place}]) => wanted[deed.type].includes(place));
+		const candidates = [...this.tracked].filter(([, {phase}]) => allowedPhases[operation.type].includes(phase));
 		if (candidates.length === 0) {
 			return;
 		}
 
-		const [id, known] = candidates[deed.pick % candidates.length]!;
-		if (deed.type === 'start') {
-			known.place = 'running';
+		const [id, tracked] = candidates[operation.pick % candidates.length]!;
+		if (operation.type === 'start') {
+			tracked.phase = 'running';
 			this.step({type: 'started', id});
 			return;
 		}
 
-		if (deed.type === 'progress') {
-			this.step({type: 'progressed', id, tokens: deed.tokens, milliseconds: deed.tokens * 10});
+		if (operation.type === 'progress') {
+			this.step({type: 'progressed', id, tokens: operation.tokens, milliseconds: operation.tokens * 10});
 			return;
 		}
 
-		this.known.delete(id);
-		const outcome = known.place === 'stopping' ? 'preempted' : deed.outcome;
-		this.step(deed.type === 'withdraw' ? {type: 'withdrawn', id} : {type: 'finished', id, outcome});
+		this.tracked.delete(id);
+		const outcome = tracked.phase === 'stopping' ? 'preempted' : operation.outcome;
+		this.step(operation.type === 'withdraw' ? {type: 'withdrawn', id} : {type: 'finished', id, outcome});
 	}
 
 	private check(action: SchedulerAction): void {
-		const known = this.known.get(action.id);
+		const tracked = this.tracked.get(action.id);
 		switch (action.type) {
 			case 'offer': {
-				equal(known?.place, 'waiting', 'offered');
-				equal(this.open, true, 'open while offering');
-				known!.place = 'offered';
+				equal(tracked?.phase, 'waiting', 'phase of the offered reservation');
+				equal(this.isOpen, true, 'is open when offering');
+				tracked!.phase = 'offered';
 				return;
 			}
 
 			case 'preempt': {
-				equal(known?.place, 'running', 'preempted');
-				equal(known!.summary.idempotent, true, 'idempotent');
-				const [, rescued] = [...this.known].find(([, {place, summary}]) => place === 'waiting' && summary.id === action.forRequest && isRescuable(summary, known!.summary)) ?? [];
-				equal(rescued !== undefined, true, 'a higher tier or a rival waits for the slot');
-				known!.place = 'stopping';
+				equal(tracked?.phase, 'running', 'phase of the preempted reservation');
+				equal(tracked!.summary.idempotent, true, 'the preempted request is idempotent');
+				const [, beneficiary] = [...this.tracked].find(([, {phase, summary}]) => phase === 'waiting' && summary.id === action.forRequest && mayPreemptFor(summary, tracked!.summary)) ?? [];
+				equal(beneficiary !== undefined, true, 'a higher tier or another workspace waits for the slot');
+				tracked!.phase = 'stopping';
 				return;
 			}
 
 			case 'refuse': {
-				equal(known?.place === 'waiting' || known?.place === 'offered', true, 'refused only what does not run');
-				equal(action.retryAfterMilliseconds > 0, true, 'says when to come back');
-				this.answered++;
-				this.known.delete(action.id);
+				equal(tracked?.phase === 'waiting' || tracked?.phase === 'offered', true, 'a refused reservation does not run');
+				equal(action.retryAfterMilliseconds > 0, true, 'has a retry delay');
+				this.refusals++;
+				this.tracked.delete(action.id);
 			}
 		}
 	}
 }
 
-function isRescuable(one: RequestSummary, other: RequestSummary): boolean {
+function mayPreemptFor(one: RequestSummary, other: RequestSummary): boolean {
 	return one.tier < other.tier || (one.tier === other.tier && one.workspace !== other.workspace);
 }
 
-function equal(actual: unknown, expected: unknown, what: string): void {
+function equal(actual: unknown, expected: unknown, description: string): void {
 	if (actual !== expected) {
-		throw new Error(`${what}: ${String(actual)}, not ${String(expected)}`);
+		throw new Error(`${description}: ${String(actual)}, not ${String(expected)}`);
 	}
 }
 
-const small = {initialSlots: 3, queueLimit: 6, floorPlaces: 2, holdMilliseconds: 100};
-const makers: ReadonlyArray<[string, () => Scheduler<unknown>]> = [
-	['tiered', () => createTieredScheduler(small)],
-	['first come', () => createFifoScheduler(small)],
+const smallSettings = {initialSlots: 3, queueLimit: 6, reservedQueuePositions: 2, holdMilliseconds: 100};
+const schedulers: ReadonlyArray<[string, () => Scheduler<unknown>]> = [
+	['tiered', () => createTieredScheduler(smallSettings)],
+	['first come', () => createFifoScheduler(smallSettings)],
 ];
-for (const [name, make] of makers) {
-	tap.test(`${name}: any sequence of events keeps the books, and every asserted rule`, async () => {
-		fc.assert(fc.property(deeds, list => {
-			const player = Player.create(make());
-			for (const {afterMilliseconds, deed} of list) {
-				player.now += afterMilliseconds;
-				player.play(deed);
+for (const [name, create] of schedulers) {
+	tap.test(`${name}: any sequence of events agrees with the model and violates no invariant`, async () => {
+		fc.assert(fc.property(operations, steps => {
+			const model = SchedulerModel.create(create());
+			for (const {afterMilliseconds, operation} of steps) {
+				model.now += afterMilliseconds;
+				model.apply(operation);
 			}
 		}), {seed: 41, numRuns: 400});
 	});
 
-	tap.test(`${name}: nothing waits past its time, and leaving answers whatever waits at once`, async () => {
-		fc.assert(fc.property(deeds, list => {
-			const player = Player.create(make());
-			for (const {afterMilliseconds, deed} of list) {
-				player.now += afterMilliseconds;
-				player.step({type: 'tick'});
-				player.play(deed);
-				for (const {place, since, summary} of player.known.values()) {
-					equal(place !== 'waiting' || player.now < since + summary.queueMilliseconds, true, 'still in its time');
+	tap.test(`${name}: no reservation waits past its queue timeout, and draining refuses all waiting ones at once`, async () => {
+		fc.assert(fc.property(operations, steps => {
+			const model = SchedulerModel.create(create());
+			for (const {afterMilliseconds, operation} of steps) {
+				model.now += afterMilliseconds;
+				model.step({type: 'tick'});
+				model.apply(operation);
+				for (const {phase, since, summary} of model.tracked.values()) {
+					equal(phase !== 'waiting' || model.now < since + summary.queueMilliseconds, true, 'waits within its queue timeout');
 				}
 			}
 
-			player.leave();
-			equal([...player.known.values()].every(({place}) => place === 'running' || place === 'stopping'), true, 'only running ones are left');
+			model.drain();
+			equal([...model.tracked.values()].every(({phase}) => phase === 'running' || phase === 'stopping'), true, 'only running reservations remain');
 		}), {seed: 42, numRuns: 200});
 	});
 }
 
-tap.test('one step leaves the state that it was given as it was', async t => {
-	const scheduler = createTieredScheduler(createSettings(small));
-	fc.assert(fc.property(deeds, list => {
+tap.test('a step does not modify the state that it gets', async t => {
+	const scheduler = createTieredScheduler(createSettings(smallSettings));
+	fc.assert(fc.property(operations, steps => {
 		let state = scheduler.create();
-		for (const [index, {deed}] of list.entries()) {
-			if (deed.type === 'arrive') {
-				const event: SchedulerEvent = {type: 'arrived', id: `${index}`, summary: deed.summary};
+		for (const [index, {operation}] of steps.entries()) {
+			if (operation.type === 'arrive') {
+				const event: SchedulerEvent = {type: 'arrived', id: `${index}`, summary: operation.summary};
 				const first = JSON.stringify(scheduler.step(state, event, index).actions);
 				const {state: next, actions} = scheduler.step(state, event, index);
 				equal(JSON.stringify(actions), first, 'the same state and event give the same actions');
--- a/test/policy/scheduler/simulation.ts
+++ b/test/policy/scheduler/simulation.ts
@@ -1,48 +1,48 @@
 import {type RequestSummary} from '../../../src/model/index.js';
 import {type Scheduler, type SchedulerAction, type SchedulerEvent} from '../../../src/policy/scheduler/index.js';
 
-/** A request that a scenario sends, and how many tokens its answer turns out to have. */
-export type Sent = {readonly at: number; readonly summary: RequestSummary; readonly tokens: number};
+/** A request that a scenario sends, and the length of its response in tokens. */
+export type SimulatedRequest = {readonly at: number; readonly summary: RequestSummary; readonly tokens: number};
 
-/** What became of it, as its caller saw it. */
-export type Received = {
-	readonly sent: Sent;
+/** The result of a request, as seen by its caller. */
+export type RequestResult = {
+	readonly sent: SimulatedRequest;
 	firstTokenAt?: number;
 	endedAt?: number;
 	refusedAt?: number;
-	/** How long its slot search took, if it got a slot. */
+	/** When it first got a slot, if it did. */
 	offeredAt?: number;
 	tokens: number;
 	preemptions: number;
 };
 
-/** An endpoint in virtual time: a step gives each running request a token and takes longer the more run. */
+/** Costs of an endpoint in virtual time: a decoding step gives each running request a token and takes longer the more requests run. */
 export type EndpointCosts = {readonly stepMilliseconds: number; readonly stepMillisecondsPerRequest: number};
 
-const wireMilliseconds = 1;
-const tickEvery = 50;
+const networkMilliseconds = 1;
+const tickMilliseconds = 50;
 
 /**
- * One side's queue before one endpoint in virtual time. An entry is as short as can be: it answers each
- * offer with the body, and reserves again when it was preempted.
+ * One side's scheduler in front of one endpoint, in virtual time. The entry is minimal: it answers each
+ * offer with the body, and makes a new reservation when a request was preempted.
  */
 export class Simulation<State> {
-	static run<State>(scheduler: Scheduler<State>, sent: readonly Sent[], costs: EndpointCosts, until: number): readonly Received[] {
+	static run<State>(scheduler: Scheduler<State>, sent: readonly SimulatedRequest[], costs: EndpointCosts, until: number): readonly RequestResult[] {
 		const simulation = new Simulation(scheduler, sent, costs);
 		simulation.advance(until);
 		return simulation.received;
 	}
 
-	readonly received: readonly Received[];
+	readonly received: readonly RequestResult[];
 	private now = 0;
 	private state: State;
-	private readonly due: Array<{at: number; act: () => void}> = [];
-	private readonly running = new Map<string, {received: Received; lastAt: number}>();
-	private readonly waiting = new Map<string, Received>();
-	private stepping = false;
+	private readonly events: Array<{at: number; run: () => void}> = [];
+	private readonly running = new Map<string, {received: RequestResult; lastAt: number}>();
+	private readonly waiting = new Map<string, RequestResult>();
+	private isStepping = false;
 	private count = 0;
 
-	private constructor(private readonly scheduler: Scheduler<State>, sent: readonly Sent[], private readonly costs: EndpointCosts) {
+	private constructor(private readonly scheduler: Scheduler<State>, sent: readonly SimulatedRequest[], private readonly costs: EndpointCosts) {
 		this.state = scheduler.create();
 		this.received = sent.map(item => ({sent: item, tokens: 0, preemptions: 0}));
 		for (const received of this.received) {
@@ -56,30 +56,30 @@
 		this.at(0, () => {
 			this.tick();
 		});
-		while (this.due.length > 0 && this.now <= until) {
+		while (this.events.length > 0 && this.now <= until) {
 			let first = 0;
-			for (const [index, {at}] of this.due.entries()) {
-				first = at < this.due[first]!.at ? index : first;
+			for (const [index, {at}] of this.events.entries()) {
+				first = at < this.events[first]!.at ? index : first;
 			}
 
-			const [next] = this.due.splice(first, 1);
+			const [next] = this.events.splice(first, 1);
 			this.now = next!.at;
-			next!.act();
+			next!.run();
 		}
 	}
 
-	private at(at: number, act: () => void): void {
-		this.due.push({at, act});
+	private at(at: number, run: () => void): void {
+		this.events.push({at, run});
 	}
 
 	private tick(): void {
 		this.step({type: 'tick'});
-		this.at(this.now + tickEvery, () => {
+		this.at(this.now + tickMilliseconds, () => {
 			this.tick();
 		});
 	}
 
-	private reserve(received: Received): void {
+	private reserve(received: RequestResult): void {
 		const id = `${this.count++}`;
 		const {summary} = received.sent;
 		const promptTokens = summary.promptTokens + received.tokens;
@@ -98,7 +98,7 @@
 	private perform(action: SchedulerAction): void {
 		switch (action.type) {
 			case 'offer': {
-				this.at(this.now + (2 * wireMilliseconds), () => {
+				this.at(this.now + (2 * networkMilliseconds), () => {
 					this.start(action.id);
 				});
 				break;
@@ -111,7 +111,7 @@
 			}
 
 			case 'preempt': {
-				this.at(this.now + wireMilliseconds, () => {
+				this.at(this.now + networkMilliseconds, () => {
 					this.stop(action.id);
 				});
 				break;
@@ -145,14 +145,14 @@
 	}
 
 	private stepEndpoint(): void {
-		if (this.stepping || this.running.size === 0) {
+		if (this.isStepping || this.running.size === 0) {
 			return;
 		}
 
-		this.stepping = true;
+		this.isStepping = true;
 		const {stepMilliseconds, stepMillisecondsPerRequest} = this.costs;
 		this.at(this.now + stepMilliseconds + (stepMillisecondsPerRequest * this.running.size), () => {
-			this.stepping = false;
+			this.isStepping = false;
 			for (const [id, running] of this.running) {
 				this.produce(id, running);
 			}
@@ -161,7 +161,7 @@
 		});
 	}
 
-	private produce(id: string, running: {received: Received; lastAt: number}): void {
+	private produce(id: string, running: {received: RequestResult; lastAt: number}): void {
 		const {received} = running;
 		received.firstTokenAt ??= this.now;
 		received.tokens++;
@@ -175,14 +175,14 @@
 	}
 }
 
-/** The part of these requests that got its whole answer, the first token in time. */
-export function attainment(received: readonly Received[]): number {
-	const good = received.filter(({sent, firstTokenAt, endedAt}) => endedAt !== undefined && firstTokenAt! - sent.at <= sent.summary.firstTokenMilliseconds);
-	return good.length / received.length;
+/** The fraction of these requests that got their complete response with the first token in time. */
+export function attainment(received: readonly RequestResult[]): number {
+	const attained = received.filter(({sent, firstTokenAt, endedAt}) => endedAt !== undefined && firstTokenAt! - sent.at <= sent.summary.firstTokenMilliseconds);
+	return attained.length / received.length;
 }
 
-/** Requests at even distances, from `from` to `to`. */
-export function stream(from: number, to: number, every: number, make: (index: number) => Omit<Sent, 'at'>): readonly Sent[] {
-	const count = Math.floor((to - from) / every);
-	return Array.from({length: count}, (_, index) => ({at: from + (index * every), ...make(index)}));
+/** Requests at regular intervals, from `from` to `to`. */
+export function requestsEvery(from: number, to: number, intervalMilliseconds: number, make: (index: number) => Omit<SimulatedRequest, 'at'>): readonly SimulatedRequest[] {
+	const count = Math.floor((to - from) / intervalMilliseconds);
+	return Array.from({length: count}, (_, index) => ({at: from + (index * intervalMilliseconds), ...make(index)}));
 }
