--- a/src/policy/assignment/index.ts
+++ b/src/policy/assignment/index.ts
@@ -1,22 +1,22 @@
 /**
- * Which endpoints should have which model loaded.
+ * Assigns models to endpoints.
  *
- * Load pattern: endpoints come and go a hundred times a day, and a model's traffic needs its number
- * of replicas in more than one availability zone. Without it an operator loads models by hand, and a
- * zone loss takes every replica at once; with a plain ranking every join or restart moves models
- * about, and each move costs a load of many gigabytes from a paced store.
+ * Endpoints join and leave a hundred times a day, and a model's traffic needs its number of replicas in
+ * more than one availability zone. Without this module an operator loads models by hand, and the loss of a
+ * zone takes every replica at once. With a plain ranking, every join or restart would move models, and each
+ * move costs a load of many gigabytes from a rate-limited store.
  *
- * The assignment is a deterministic function of the catalogue and of what has been seen of the
- * membership list, so every side computes the same one without talking. Two sides whose lists differ
- * for a while may both load a model; that costs a load and breaks nothing.
+ * The assignment is a deterministic function of the catalogue and of the observed membership list, so every
+ * side computes the same one without communication. If the lists of two sides differ for a while, both may
+ * load a model; that costs a load and breaks nothing.
  */
 import {type EndpointId, type TargetName, type ZoneName} from '../../model/index.js';
 import {rankByRendezvous} from '../hashing/index.js';
 
-/** How many endpoints should have a model, as the catalogue says. */
+/** How many endpoints should have a model, according to the catalogue. */
 export type ModelDemand = {readonly name: TargetName; readonly replicas: number};
 
-/** An engine as the membership list shows it. */
+/** An engine's endpoint as shown in the membership list. */
 export type EngineMember = {
 	readonly endpoint: EndpointId;
 	readonly zone: ZoneName;
@@ -24,40 +24,40 @@
 	readonly leaving: boolean;
 };
 
-type SeenSite = {readonly site: EngineMember; readonly seenAt: number};
+type ObservedMember = {readonly member: EngineMember; readonly seenAt: number};
 
-/** What has been seen of the membership list. */
-export type Assignment = {readonly sites: ReadonlyMap<EndpointId, SeenSite>};
+/** The observed state of the membership list. */
+export type Assignment = {readonly members: ReadonlyMap<EndpointId, ObservedMember>};
 
 /**
- * An endpoint that is missing from the list still counts for so long. A restart takes tens of
- * seconds and the list itself lags; loading a model elsewhere takes longer than that, so acting
- * sooner would pay for a load that is not needed when the endpoint is back.
+ * For this long, an endpoint that is missing from the list still counts. A restart takes tens of seconds and
+ * the list itself lags. Loading a model elsewhere takes longer than that, so acting sooner would pay for a
+ * load that is not needed when the endpoint is back.
  */
-export const absenceMilliseconds = 60_000;
+export const absenceGraceMilliseconds = 60_000;
 
 export function createAssignment(): Assignment {
-	return {sites: new Map()};
+	return {members: new Map()};
 }
 
-/** Takes a reading of the membership list. */
+/** Applies the current membership list. `now` is in milliseconds. */
 export function observeMembers(state: Assignment, list: readonly EngineMember[], now: number): Assignment {
-	const kept = [...state.sites].filter(([, {seenAt}]) => now - seenAt < absenceMilliseconds);
-	return {sites: new Map([...kept, ...list.map(site => [site.endpoint, {site, seenAt: now}] as const)])};
+	const kept = [...state.members].filter(([, {seenAt}]) => now - seenAt < absenceGraceMilliseconds);
+	return {members: new Map([...kept, ...list.map(member => [member.endpoint, {member, seenAt: now}] as const)])};
 }
 
 /**
- * The endpoints that should have a model. Those that have it keep it first: that is the hysteresis.
+ * The endpoints that should have a model. Endpoints that already have it are preferred (hysteresis).
  * Missing replicas go to the availability zone with the fewest, there to the endpoint with the
- * fewest models, and between equals by rendezvous.
+ * fewest models, and among equals by rendezvous hashing.
  */
 export function endpointsForModel(state: Assignment, demand: ModelDemand): readonly EndpointId[] {
-	const sites = new Map([...state.sites.values()].filter(({site}) => !site.leaving).map(({site}) => [site.endpoint, site]));
-	const ranked = rankByRendezvous(demand.name, sites.keys()).map(endpoint => sites.get(endpoint)!);
-	const holders = ranked.filter(site => site.models.includes(demand.name));
-	const chosen: EngineMember[] = pickSpread(holders, demand.replicas, []);
-	const others = ranked.filter(site => !site.models.includes(demand.name)).toSorted((left, right) => left.models.length - right.models.length);
-	return pickSpread(others, demand.replicas - chosen.length, chosen).map(({endpoint}) => endpoint);
+	const members = new Map([...state.members.values()].filter(({member}) => !member.leaving).map(({member}) => [member.endpoint, member]));
+	const ranked = rankByRendezvous(demand.name, members.keys()).map(endpoint => members.get(endpoint)!);
+	const holders = ranked.filter(member => member.models.includes(demand.name));
+	const chosen: EngineMember[] = pickAcrossZones(holders, demand.replicas, []);
+	const others = ranked.filter(member => !member.models.includes(demand.name)).toSorted((left, right) => left.models.length - right.models.length);
+	return pickAcrossZones(others, demand.replicas - chosen.length, chosen).map(({endpoint}) => endpoint);
 }
 
 /** The models that one endpoint should have. */
@@ -65,19 +65,19 @@
 	return demands.filter(demand => endpointsForModel(state, demand).includes(endpoint)).map(({name}) => name);
 }
 
-/** Adds up to `count` candidates to those chosen, each from the availability zone that has the fewest by then. */
-function pickSpread(candidates: readonly EngineMember[], count: number, chosen: readonly EngineMember[]): EngineMember[] {
+/** Adds up to `count` candidates to `chosen`, each from the availability zone that has the fewest at that point. */
+function pickAcrossZones(candidates: readonly EngineMember[], count: number, chosen: readonly EngineMember[]): EngineMember[] {
 	const picked = [...chosen];
-	const left = [...candidates];
-	for (let added = 0; added < count && left.length > 0; added++) {
-		const fewest = Math.min(...left.map(({zone}) => countZone(picked, zone)));
-		const best = left.findIndex(({zone}) => countZone(picked, zone) === fewest);
-		picked.push(...left.splice(best, 1));
+	const remaining = [...candidates];
+	for (let added = 0; added < count && remaining.length > 0; added++) {
+		const fewest = Math.min(...remaining.map(({zone}) => countZone(picked, zone)));
+		const best = remaining.findIndex(({zone}) => countZone(picked, zone) === fewest);
+		picked.push(...remaining.splice(best, 1));
 	}
 
 	return picked;
 }
 
-function countZone(sites: readonly EngineMember[], zone: ZoneName): number {
-	return sites.filter(site => site.zone === zone).length;
+function countZone(members: readonly EngineMember[], zone: ZoneName): number {
+	return members.filter(member => member.zone === zone).length;
 }
--- a/src/policy/hashing/imurmurhash.d.ts
+++ b/src/policy/hashing/imurmurhash.d.ts
@@ -1,6 +1,6 @@
-/** Typings of the part of imurmurhash that this project uses; the library ships none. */
+/** Type declarations for the part of imurmurhash that is used here; the library has none. */
 declare module 'imurmurhash' {
 	type State = {result(): number};
-	/** Without `new` it returns one shared object, which the next call starts anew. */
+	/** Without `new` it returns one shared object, which the next call resets. */
 	export default function MurmurHash3(text: string, seed?: number): State;
 }
--- a/src/policy/hashing/index.ts
+++ b/src/policy/hashing/index.ts
@@ -1,14 +1,14 @@
-/** Rendezvous hashing: many processes rank the same candidates alike without talking. */
+/** Hashes and rendezvous hashing: processes rank the same candidates in the same order without communication. */
 import murmurHash from 'imurmurhash';
 
-/** A uniform 32-bit number for a text; equal in every process and version. */
+/** A uniformly distributed 32-bit hash of a text (MurmurHash3); equal in every process and version. */
 export function hash32(text: string): number {
 	return murmurHash(text).result();
 }
 
 /**
- * The candidates, best first for this key. Taking one away moves only the keys that it was first
- * for, which a hash modulo the number of candidates doesn't achieve.
+ * Ranks candidates for a key by rendezvous hashing, best first. Removing a candidate moves only the keys for
+ * which it ranked first, unlike a hash modulo the number of candidates.
  */
 export function rankByRendezvous<Candidate extends string>(key: string, candidates: Iterable<Candidate>): Candidate[] {
 	const scored = Array.from(candidates, candidate => ({candidate, score: hash32(`${key}\n${candidate}`)}));
@@ -17,7 +17,7 @@
 }
 
 /* eslint-disable no-bitwise -- mixing integers has no other form */
-/** Mixes two hashes into one: for scores of many pairs, whose parts are hashed once each. */
+/** Combines two hashes into one, for scores of many pairs whose parts are each hashed once. */
 export function mixHashes(left: number, right: number): number {
 	let mixed = Math.imul(left ^ right, 0x85_EB_CA_6B);
 	mixed = Math.imul(mixed ^ (mixed >>> 13), 0xC2_B2_AE_35);
--- a/src/policy/ownership/index.ts
+++ b/src/policy/ownership/index.ts
@@ -1,28 +1,28 @@
 /**
- * Load pattern: a side is paused, its instance is replaced, and both believe that they own the
- * endpoint. Without this fold the old one wakes and loads the version of yesterday.
+ * Ownership of an endpoint with fencing. If a side is paused and its instance is replaced, both believe that
+ * they own the endpoint. Without this module the old one resumes and loads an outdated version.
  *
- * A side owns its endpoint from the record by which it says so, until a later side's record. The
- * record's offset is the fencing number of its orders: engines that check it refuse an older one.
- * For those that don't, a new owner waits until no order of an older one can still be sent, which is
- * one lease after its record, and an owner sends only within a lease of having read that it is one.
+ * A side owns its endpoint from the offset of its own record in the log until a later side's record. The
+ * record's offset is the fencing number of its orders: engines that check it refuse a lower one. For
+ * engines that don't, a new owner waits until an older owner can't send orders any more, which is one lease
+ * after its own record, and an owner sends orders only within a lease of having read that it is the owner.
  */
 import {z} from 'zod';
 
 export const ownershipRecordSchema = z.object({type: z.literal('owner'), endpoint: z.string().min(1).max(256), instance: z.string().min(1).max(256)});
 export type OwnershipRecord = z.infer<typeof ownershipRecordSchema>;
 
-/** The last owner that the endpoint's stream names, and its fencing number. */
+/** The last owner in the endpoint's stream and its fencing number; `nextOffset` is the offset to read from. */
 export type Ownership = {readonly nextOffset: number; readonly owner?: {readonly instance: string; readonly fence: number}};
 
-/** How long a reading of the stream counts. An engine takes an order within a fraction of it. */
+/** How long a read of the stream stays valid. An engine accepts an order within a fraction of this time. */
 export const ownershipLeaseMilliseconds = 3000;
 
 export function createOwnership(): Ownership {
 	return {nextOffset: 0};
 }
 
-/** Applies records in log order; repeats of an owner's record raise its fence, which is harmless. */
+/** Applies records in log order. A repeated record of the owner raises its fencing number, which is harmless. */
 export function foldOwnership(state: Ownership, records: ReadonlyArray<{readonly offset: number; readonly value: unknown}>): Ownership {
 	let current = state;
 	for (const {offset, value} of records) {
@@ -39,37 +39,37 @@
 }
 
 /** What an owner must do before its next order. */
-export type OrderStep
+export type OrderDecision
 	= | {readonly type: 'send'; readonly fence: number}
-	/** What is known is older than the lease: read the stream first. */
+	/** The last read is too old: read the stream first. */
 		| {readonly type: 'read'}
-	/** An older owner may still be sending. */
+	/** An older owner may still be sending orders. */
 		| {readonly type: 'wait'; readonly milliseconds: number}
-	/** A later side owns the endpoint, or this one's record has left the log: no order, ever again. */
+	/** A later side owns the endpoint, or this side's record has left the log: it must not send orders any more. */
 		| {readonly type: 'superseded'};
 
-/** Times are of a clock that goes on while the process is paused. */
-export type OrderQuestion = {
+/** Input of `decideOrder`. Times are in milliseconds of a clock that continues while the process is paused. */
+export type OrderQuery = {
 	readonly instance: string;
-	/** When this side's own record was certainly in the log. */
+	/** When this side's own record was known to be in the log. */
 	readonly ownedAt: number;
-	/** When the last reading of the stream began, if there was one since the order was asked for. */
+	/** When the last read of the stream began, if there was one since the order was requested. */
 	readonly readAt: number | undefined;
 	readonly endpointChecksFences: boolean;
 };
 
-export function decideOrder(state: Ownership, question: OrderQuestion, now: number): OrderStep {
-	if (question.readAt === undefined || now - question.readAt > ownershipLeaseMilliseconds / 2) {
+export function decideOrder(state: Ownership, query: OrderQuery, now: number): OrderDecision {
+	if (query.readAt === undefined || now - query.readAt > ownershipLeaseMilliseconds / 2) {
 		return {type: 'read'};
 	}
 
-	if (state.owner?.instance !== question.instance) {
+	if (state.owner?.instance !== query.instance) {
 		return {type: 'superseded'};
 	}
 
-	const quietAt = question.ownedAt + ownershipLeaseMilliseconds;
-	if (!question.endpointChecksFences && now < quietAt) {
-		return {type: 'wait', milliseconds: quietAt - now};
+	const exclusiveAt = query.ownedAt + ownershipLeaseMilliseconds;
+	if (!query.endpointChecksFences && now < exclusiveAt) {
+		return {type: 'wait', milliseconds: exclusiveAt - now};
 	}
 
 	return {type: 'send', fence: state.owner.fence};
--- a/src/policy/placement/baselines.ts
+++ b/src/policy/placement/baselines.ts
@@ -1,14 +1,14 @@
 /**
- * Placements that others use, kept so that the bench can compare: each returns one endpoint, so the
- * request is bound to a queue before anyone knows which slot frees first.
+ * Common placement policies, as baselines for the benchmark. Each returns one endpoint, so a request is
+ * bound to a queue before it is known which slot frees first.
  */
 import {type EndpointId, type RequestSummary} from '../../model/index.js';
 import {createFleet, stepFleet, usableSides, type Fleet, type SideRecord} from './fleet.js';
 import {type Choice, type Placement} from './types.js';
 
-type Pick = (usable: readonly SideRecord[], random: number, fleet: Fleet) => SideRecord | undefined;
+type PickSide = (usable: readonly SideRecord[], random: number, fleet: Fleet) => SideRecord | undefined;
 
-function placementBy(name: string, pick: Pick): Placement<Fleet> {
+function createBaseline(name: string, pick: PickSide): Placement<Fleet> {
 	return {
 		create: createFleet,
 		step: stepFleet,
@@ -25,21 +25,21 @@
 	};
 }
 
-/** Any live endpoint, with equal chance. */
-export const randomPlacement = placementBy('random', (usable, random) => usable[Math.floor(random * usable.length)]);
+/** A usable endpoint chosen uniformly at random. */
+export const randomPlacement = createBaseline('random', (usable, random) => usable[Math.floor(random * usable.length)]);
 
-/** Each live endpoint in turn, as counted by this entry's reservations. */
-export const roundRobin = placementBy('round-robin', (usable, _random, fleet) => usable[fleet.reservations % usable.length]);
+/** The usable endpoints in turn, by the number of this entry's reservations. */
+export const roundRobin = createBaseline('round-robin', (usable, _random, fleet) => usable[fleet.reservations % usable.length]);
 
-/** The endpoint with the fewest requests of this entry, which sees nothing of the other entries'. */
-export const leastInFlight = placementBy('least-in-flight', (usable, random) => {
-	const fewest = Math.min(...usable.map(side => side.own.size));
-	const equal = usable.filter(side => side.own.size === fewest);
-	return equal[Math.floor(random * equal.length)];
+/** The endpoint with the fewest requests of this entry; requests of other entries are not counted. */
+export const leastInFlight = createBaseline('least-in-flight', (usable, random) => {
+	const fewest = Math.min(...usable.map(side => side.ownRequests.size));
+	const candidates = usable.filter(side => side.ownRequests.size === fewest);
+	return candidates[Math.floor(random * candidates.length)];
 });
 
-/** Two at random, and of those the one whose last report was the less loaded. */
-export const powerOfTwo = placementBy('power-of-two', (usable, random) => {
+/** Power of two choices: of two random endpoints, the one with the lower load in its last report. */
+export const powerOfTwo = createBaseline('power-of-two', (usable, random) => {
 	const scaled = random * usable.length;
 	const first = usable[Math.floor(scaled)];
 	if (!first || usable.length === 1) {
--- a/src/policy/placement/fleet.ts
+++ b/src/policy/placement/fleet.ts
@@ -4,22 +4,22 @@
 /** A reservation or a running request of this entry at one side. */
 export type OwnRequest = {readonly phase: 'reserved' | 'offered' | 'started'; readonly since: number};
 
-/** One side: its last report, and what this entry has there. */
+/** One side: its last report, and this entry's requests there. */
 export type SideRecord = {
 	readonly view: SideView;
-	readonly seenAt: number;
-	/** How many of our requests the last report has counted, as far as we can tell. */
-	readonly ownReported: number;
-	readonly own: ReadonlyMap<RequestId, OwnRequest>;
+	readonly reportedAt: number;
+	/** Estimate of how many of this entry's requests are counted in the last report. */
+	readonly ownRequestsReported: number;
+	readonly ownRequests: ReadonlyMap<RequestId, OwnRequest>;
 	readonly lastReservedAt: number;
 };
 
-/** What every placement keeps: the sides as this entry sees them. */
+/** The state that all placement policies share: the sides as this entry sees them. */
 export type Fleet = {
 	readonly instance: string;
 	readonly zone: ZoneName;
 	readonly sides: ReadonlyMap<EndpointId, SideRecord>;
-	/** Reservations made so far, which round robin counts by. */
+	/** Number of reservations made so far, the counter of round robin. */
 	readonly reservations: number;
 };
 
@@ -27,14 +27,14 @@
 	return {...settings, sides: new Map(), reservations: 0};
 }
 
-/** Applies an event. Repeated events change nothing; events of an unknown side are ignored. */
+/** Applies an event. Repeated events don't count a request twice; events of an unknown side are ignored. */
 export function stepFleet(fleet: Fleet, event: PlacementEvent, now: number): Fleet {
 	switch (event.type) {
 		case 'side-seen': {
 			const before = fleet.sides.get(event.side.endpoint);
-			const own = before?.own ?? new Map<RequestId, OwnRequest>();
+			const ownRequests = before?.ownRequests ?? new Map<RequestId, OwnRequest>();
 			return withSide(fleet, {
-				view: event.side, seenAt: now, own, ownReported: countReported(own, now), lastReservedAt: before?.lastReservedAt ?? -Infinity,
+				view: event.side, reportedAt: now, ownRequests, ownRequestsReported: countReported(ownRequests, now), lastReservedAt: before?.lastReservedAt ?? -Infinity,
 			});
 		}
 
@@ -45,19 +45,19 @@
 		}
 
 		case 'reserved': {
-			const reserved = withOwn(fleet, event, 'reserved', now);
+			const reserved = setOwnRequest(fleet, event, 'reserved', now);
 			return {...reserved, reservations: fleet.reservations + 1};
 		}
 
 		case 'offered':
 		case 'started': {
-			return withOwn(fleet, event, event.type, now);
+			return setOwnRequest(fleet, event, event.type, now);
 		}
 
 		case 'refused':
 		case 'withdrawn':
 		case 'ended': {
-			return withoutOwn(fleet, event);
+			return removeOwnRequest(fleet, event);
 		}
 
 		case 'first-token':
@@ -68,12 +68,12 @@
 	}
 }
 
-/** A report that comes now was made at least a one-way trip ago: half a round trip between availability zones, and a little. */
+/** A report that arrives now was made at least one one-way trip ago: half a round trip between availability zones, plus a margin. */
 const reportLagMilliseconds = 2;
 
-function countReported(own: ReadonlyMap<RequestId, OwnRequest>, now: number): number {
+function countReported(ownRequests: ReadonlyMap<RequestId, OwnRequest>, now: number): number {
 	let count = 0;
-	for (const {since} of own.values()) {
+	for (const {since} of ownRequests.values()) {
 		count += since <= now - reportLagMilliseconds ? 1 : 0;
 	}
 
@@ -84,32 +84,32 @@
 	return {...fleet, sides: new Map(fleet.sides).set(side.view.endpoint, side)};
 }
 
-type OwnEvent = {readonly endpoint: EndpointId; readonly request: RequestId};
+type OwnRequestEvent = {readonly endpoint: EndpointId; readonly request: RequestId};
 
-function withOwn(fleet: Fleet, event: OwnEvent, phase: OwnRequest['phase'], now: number): Fleet {
+function setOwnRequest(fleet: Fleet, event: OwnRequestEvent, phase: OwnRequest['phase'], now: number): Fleet {
 	const side = fleet.sides.get(event.endpoint);
 	if (!side) {
 		return fleet;
 	}
 
-	const since = side.own.get(event.request)?.since ?? now;
+	const since = side.ownRequests.get(event.request)?.since ?? now;
 	const lastReservedAt = phase === 'reserved' ? now : side.lastReservedAt;
-	return withSide(fleet, {...side, own: new Map(side.own).set(event.request, {phase, since}), lastReservedAt});
+	return withSide(fleet, {...side, ownRequests: new Map(side.ownRequests).set(event.request, {phase, since}), lastReservedAt});
 }
 
-function withoutOwn(fleet: Fleet, event: OwnEvent): Fleet {
+function removeOwnRequest(fleet: Fleet, event: OwnRequestEvent): Fleet {
 	const side = fleet.sides.get(event.endpoint);
-	if (!side?.own.has(event.request)) {
+	if (!side?.ownRequests.has(event.request)) {
 		return fleet;
 	}
 
-	const own = new Map(side.own);
-	own.delete(event.request);
-	return withSide(fleet, {...side, own});
+	const ownRequests = new Map(side.ownRequests);
+	ownRequests.delete(event.request);
+	return withSide(fleet, {...side, ownRequests});
 }
 
-/** Why a side can't take this request at all, or undefined if it can. */
-export function unusable(side: SideRecord, summary: RequestSummary, excluded: ReadonlySet<EndpointId>): string | undefined {
+/** The reason code if a side can't take this request at all, or undefined if it can. */
+export function unusableReason(side: SideRecord, summary: RequestSummary, excluded: ReadonlySet<EndpointId>): string | undefined {
 	if (!side.view.targets.includes(summary.target)) {
 		return 'other-target';
 	}
@@ -125,7 +125,7 @@
 	return excluded.has(side.view.endpoint) ? 'excluded' : undefined;
 }
 
-/** The sides that may take the request, in the order of their names, and why the others may not. */
+/** The sides that may take the request, sorted by endpoint, and the reason codes of the others. */
 export function usableSides(fleet: Fleet, summary: RequestSummary, excluded: ReadonlySet<EndpointId>): {
 	readonly usable: readonly SideRecord[];
 	readonly reasons: ReadonlyArray<{readonly endpoint: EndpointId; readonly reason: string}>;
@@ -133,7 +133,7 @@
 	const usable: SideRecord[] = [];
 	const reasons: Array<{endpoint: EndpointId; reason: string}> = [];
 	for (const side of fleet.sides.values()) {
-		const reason = unusable(side, summary, excluded);
+		const reason = unusableReason(side, summary, excluded);
 		if (reason === undefined) {
 			usable.push(side);
 		} else if (reason !== 'other-target') {
--- a/src/policy/placement/prefixes.ts
+++ b/src/policy/placement/prefixes.ts
@@ -1,18 +1,18 @@
 import {type EndpointId} from '../../model/index.js';
 
 /**
- * Load pattern: many requests begin with the same long prompt, and an engine that has it in its
- * cache skips most of the work until the first token. Without this module they spread evenly and
- * each engine computes, and caches, the same prefix. Engines publish cache events late and with
- * gaps, so the entry goes by what it sent itself.
+ * Remembers which endpoint got which prompt prefix. Many requests begin with the same long prompt, and an
+ * engine that has it in its cache skips most of the work before the first token. Without this module such
+ * requests spread evenly, and each engine computes and caches the same prefix. Engines publish cache events
+ * late and with gaps, so an entry relies on what it sent itself.
  */
 
 /** Prefixes remembered per endpoint: an engine's cache holds fewer long ones than this. */
-export const rememberedPrefixes = 64;
-/** A prefix unused for so long has likely been dropped by the engine. */
+export const maximumPrefixes = 64;
+/** A prefix that was not used for this long has probably been evicted from the engine's cache. */
 export const prefixLifetimeMilliseconds = 60_000;
 
-/** When this entry last sent a prefix to each endpoint; the oldest goes first. */
+/** When this entry last sent a prefix to each endpoint, least recently used first; that one is evicted first. */
 export type PrefixMemory = ReadonlyMap<EndpointId, ReadonlyMap<string, number>>;
 
 export function rememberPrefix(memory: PrefixMemory, endpoint: EndpointId, prefix: string, now: number): PrefixMemory {
@@ -24,7 +24,7 @@
 	prefixes.delete(prefix);
 	prefixes.set(prefix, now);
 	for (const oldest of prefixes.keys()) {
-		if (prefixes.size <= rememberedPrefixes) {
+		if (prefixes.size <= maximumPrefixes) {
 			break;
 		}
 
@@ -40,7 +40,7 @@
 	return rest;
 }
 
-export function holdsPrefix(memory: PrefixMemory, endpoint: EndpointId, prefix: string, now: number): boolean {
+export function hasPrefix(memory: PrefixMemory, endpoint: EndpointId, prefix: string, now: number): boolean {
 	const sentAt = memory.get(endpoint)?.get(prefix);
 	return sentAt !== undefined && now - sentAt < prefixLifetimeMilliseconds;
 }
--- a/test/policy/placement.test.ts
+++ b/test/policy/placement.test.ts
@@ -33,88 +33,88 @@
 
 for (const [name, placement] of Object.entries(placements)) {
 	tap.test(`${name} never chooses a side that is lost, leaving, excluded or of another target`, async () => {
-		fc.assert(fc.property(events, fc.double({min: 0, max: 0.999, noNaN: true}), fc.subarray(endpoints), (sequence, random, excluded) => {
+		fc.assert(fc.property(events, fc.double({min: 0, max: 0.999, noNaN: true}), fc.subarray(endpoints), (steps, random, excluded) => {
 			let state = placement.create({instance: 'entry', zone: 'z1' as ZoneName});
-			const truth = new Map<EndpointId, SideView>();
-			for (const [index, event] of sequence.entries()) {
+			const expectedSides = new Map<EndpointId, SideView>();
+			for (const [index, event] of steps.entries()) {
 				state = placement.step(state, event, index * 20);
 				if (event.type === 'side-seen') {
-					truth.set(event.side.endpoint, event.side);
+					expectedSides.set(event.side.endpoint, event.side);
 				} else if (event.type === 'side-lost') {
-					truth.delete(event.endpoint);
+					expectedSides.delete(event.endpoint);
 				}
 			}
 
-			const usable = [...truth.values()].filter(side => side.connected && !side.leaving && side.targets.includes('model' as never) && !excluded.includes(side.endpoint));
+			const usable = [...expectedSides.values()].filter(side => side.connected && !side.leaving && side.targets.includes('model' as never) && !excluded.includes(side.endpoint));
 			const {endpoints: chosen} = placement.choose(state, createSummary('r9'), new Set(excluded), random, 5000);
 			return chosen.every(one => usable.some(side => side.endpoint === one)) && new Set(chosen).size === chosen.length && (chosen.length > 0) === (usable.length > 0);
 		}), {seed: 4, numRuns: 500});
 	});
 }
 
-function drawFrom(seed: number): () => number {
+function createRandom(seed: number): () => number {
 	const generator = xoroshiro128plus(seed);
 	return () => uniformFloat64(generator);
 }
 
-function steady(everyMilliseconds: number, until: number, tokens = 20): Arrival[] {
+function arrivalsEvery(everyMilliseconds: number, until: number, tokens = 20): Arrival[] {
 	return Array.from({length: Math.floor(until / everyMilliseconds)}, (_, index) => ({at: index * everyMilliseconds, tokens}));
 }
 
-function worstWait(finished: readonly Finished[], from: number): number {
+function maximumWait(finished: readonly Finished[], from: number): number {
 	return Math.max(...finished.filter(({arrival}) => arrival.at >= from).map(({wait}) => wait));
 }
 
-tap.test('a slow endpoint is set aside and one that recovers is used again', async t => {
-	// One of four endpoints turns five times slower, and later recovers. The caller sees no long wait,
-	// since others have room; the slow one keeps a trickle, which shows the recovery, and then its share.
+tap.test('a slow endpoint is ejected and one that recovers is used again', async t => {
+	// One of four endpoints becomes five times slower and recovers later. No request waits long, since the
+	// others have capacity. The slow one still gets probe requests, which show the recovery, and then its share.
 	const sides = createSides(4);
-	const {finished} = runSides(subsetPlacement, sides, steady(20, 12_000), {
-		until: 14_000, random: drawFrom(5),
+	const {finished} = runSides(subsetPlacement, sides, arrivalsEvery(20, 12_000), {
+		until: 14_000, random: createRandom(5),
 		change(now) {
 			sides[1]!.tokenMilliseconds = now >= 2000 && now < 7000 ? 50 : 10;
 		},
 	});
-	const at = (from: number, to: number) => finished.filter(({arrival, endpoint: where}) => where === 'endpoint-1' && arrival.at >= from && arrival.at < to).length;
+	const countAt = (from: number, to: number) => finished.filter(({arrival, endpoint: where}) => where === 'endpoint-1' && arrival.at >= from && arrival.at < to).length;
 	t.equal(finished.length, 600);
-	t.ok(at(0, 2000) >= 15, 'its share at first');
-	t.ok(at(3500, 7000) >= 1 && at(3500, 7000) <= 9, `a trickle while slow: ${at(3500, 7000)}`);
-	t.ok(at(10_000, 12_000) >= 10, `its share once recovered: ${at(10_000, 12_000)}`);
-	t.ok(worstWait(finished, 0) <= 200);
+	t.ok(countAt(0, 2000) >= 15, 'its share before it is slow');
+	t.ok(countAt(3500, 7000) >= 1 && countAt(3500, 7000) <= 9, `probe requests while slow: ${countAt(3500, 7000)}`);
+	t.ok(countAt(10_000, 12_000) >= 10, `its share after the recovery: ${countAt(10_000, 12_000)}`);
+	t.ok(maximumWait(finished, 0) <= 200);
 });
 
-tap.test('a hot prefix stays where it is cached until load outweighs it', async t => {
-	// All requests share one prompt prefix. While one endpoint can bear them, the caller gets its cached
-	// prefix; when more come than it has slots for, they spread, and nobody waits beside idle endpoints.
-	const quiet = runSides(subsetPlacement, createSides(4), steady(250, 5000).map(arrival => ({...arrival, prefix: 'menu'})), {until: 6000, random: drawFrom(6)}).finished;
+tap.test('requests with one prefix stay at the endpoint that caches it until its load outweighs that', async t => {
+	// All requests share one prompt prefix. While one endpoint can serve them, they use its cached prefix; when
+	// there are more than it has slots for, they spread, and no request waits while other endpoints are idle.
+	const quiet = runSides(subsetPlacement, createSides(4), arrivalsEvery(250, 5000).map(arrival => ({...arrival, prefix: 'menu'})), {until: 6000, random: createRandom(6)}).finished;
 	t.equal(new Set(quiet.map(({endpoint: where}) => where)).size, 1);
-	const busy = runSides(subsetPlacement, createSides(4), steady(15, 5000).map(arrival => ({...arrival, prefix: 'menu'})), {until: 9000, random: drawFrom(6)}).finished;
+	const busy = runSides(subsetPlacement, createSides(4), arrivalsEvery(15, 5000).map(arrival => ({...arrival, prefix: 'menu'})), {until: 9000, random: createRandom(6)}).finished;
 	t.equal(busy.length, 333);
 	t.equal(new Set(busy.map(({endpoint: where}) => where)).size, 4);
-	t.ok(worstWait(busy, 0) <= 250, `worst wait ${worstWait(busy, 0)}`);
+	t.ok(maximumWait(busy, 0) <= 250, `longest wait ${maximumWait(busy, 0)}`);
 });
 
-tap.test('an endpoint lost at the peak: its requests go elsewhere and waits stay bounded', async t => {
-	// At 94% of four endpoints one is lost. What waited or ran there is placed again at once; the three
-	// left are overloaded, and share the backlog evenly.
+tap.test('when an endpoint is lost under high load, its requests are placed again and waits stay bounded', async t => {
+	// One of four endpoints is lost at 94% load. Its waiting and running requests are placed again at once; the
+	// remaining three are overloaded and share the backlog evenly.
 	const sides = createSides(4);
-	const {finished} = runSides(subsetPlacement, sides, steady(13, 4000), {
-		until: 8000, random: drawFrom(7),
+	const {finished} = runSides(subsetPlacement, sides, arrivalsEvery(13, 4000), {
+		until: 8000, random: createRandom(7),
 		change(now) {
 			sides[2]!.alive = now < 2000;
 		},
 	});
 	t.equal(finished.length, 307);
 	t.ok(finished.every(({endpoint: where, at}) => where !== 'endpoint-2' || at <= 2000));
-	t.ok(worstWait(finished, 0) <= 1500, `worst wait ${worstWait(finished, 0)}`);
+	t.ok(maximumWait(finished, 0) <= 1500, `longest wait ${maximumWait(finished, 0)}`);
 });
 
-tap.test('late binding over a subset waits no longer than any baseline when long jobs stand among short ones', async t => {
-	// One request in ten runs ten times as long, and nobody knows which. A caller bound early to the queue
-	// behind a long job waits for it while another endpoint idles.
+tap.test('late binding over a subset waits no longer than any baseline when long requests are among short ones', async t => {
+	// One request in ten takes ten times as long, and it is not known which. With early binding, a request
+	// in the queue behind a long one waits for it while another endpoint is idle.
 	const waits = (placement: Placement<unknown>) => {
-		const arrivals = steady(26, 20_000).map((arrival, index) => ({...arrival, tokens: index % 10 === 3 ? 200 : 20}));
-		const {finished} = runSides(placement, createSides(4), arrivals, {until: 40_000, random: drawFrom(8)});
+		const arrivals = arrivalsEvery(26, 20_000).map((arrival, index) => ({...arrival, tokens: index % 10 === 3 ? 200 : 20}));
+		const {finished} = runSides(placement, createSides(4), arrivals, {until: 40_000, random: createRandom(8)});
 		return finished.map(({wait}) => wait).toSorted((left, right) => left - right)[Math.floor(finished.length * 0.99)]!;
 	};
 
--- a/test/policy/virtual-sides.ts
+++ b/test/policy/virtual-sides.ts
@@ -13,10 +13,10 @@
 export type Arrival = {readonly at: number; readonly tokens: number; readonly prefix?: string; readonly tier?: Tier};
 export type Finished = {readonly at: number; readonly wait: number; readonly endpoint: EndpointId; readonly arrival: Arrival};
 
-export function createSummary(id: string, more: Partial<RequestSummary> = {}): RequestSummary {
+export function createSummary(id: string, overrides: Partial<RequestSummary> = {}): RequestSummary {
 	const summary: RequestSummary = {
 		id: id as RequestId, workspace: 'studio' as WorkspaceName, weight: 1, className: 'answers' as ClassName, tier: 0, target: 'model' as TargetName,
-		idempotent: true, firstTokenMilliseconds: 400, queueMilliseconds: 5000, promptTokens: 500, fingerprint: id, prefix: '', ...more,
+		idempotent: true, firstTokenMilliseconds: 400, queueMilliseconds: 5000, promptTokens: 500, fingerprint: id, prefix: '', ...overrides,
 	};
 	return summary;
 }
@@ -42,7 +42,7 @@
 	let state = placement.create({instance: 'entry-0', zone: 'zone-0' as never});
 	const finished: Finished[] = [];
 	const pending = arrivals.map((arrival, index) => ({...arrival, id: `request-${index}` as RequestId}));
-	const known = new Map(pending.map(request => [request.id, request]));
+	const requests = new Map(pending.map(request => [request.id, request]));
 	const reservedAt = new Map<RequestId, readonly EndpointId[]>();
 	let next = 0;
 
@@ -52,7 +52,7 @@
 	} as unknown as SideView);
 
 	const place = (id: RequestId, now: number) => {
-		const request = known.get(id)!;
+		const request = requests.get(id)!;
 		const summary = createSummary(id, {prefix: request.prefix ?? '', tier: request.tier ?? 0});
 		const choice = placement.choose(state, summary, new Set(), options.random(), now);
 		reservedAt.set(id, choice.endpoints);
@@ -73,13 +73,13 @@
 
 			reservedAt.set(id, [side.endpoint]);
 			side.running.set(id, now);
-			state = placement.step(state, {type: 'started', endpoint: side.endpoint, request: id, prefix: known.get(id)!.prefix ?? ''}, now);
+			state = placement.step(state, {type: 'started', endpoint: side.endpoint, request: id, prefix: requests.get(id)!.prefix ?? ''}, now);
 		}
 	};
 
 	const progress = (side: VirtualSide, now: number) => {
 		for (const [id, startedAt] of side.running) {
-			const request = known.get(id)!;
+			const request = requests.get(id)!;
 			state = placement.step(state, {type: 'progressed', endpoint: side.endpoint, request: id, tokens: stepMilliseconds / side.tokenMilliseconds, milliseconds: stepMilliseconds}, now);
 			if (now - startedAt >= request.tokens * side.tokenMilliseconds) {
 				side.running.delete(id);
@@ -89,12 +89,12 @@
 		}
 	};
 
-	const lose = (side: VirtualSide, now: number) => {
+	const removeSide = (side: VirtualSide, now: number) => {
 		state = placement.step(state, {type: 'side-lost', endpoint: side.endpoint}, now);
-		const stranded = [...side.running.keys(), ...side.queue];
+		const affected = [...side.running.keys(), ...side.queue];
 		side.running.clear();
 		side.queue = [];
-		for (const id of stranded) {
+		for (const id of affected) {
 			const elsewhere = reservedAt.get(id)!.filter(endpoint => endpoint !== side.endpoint);
 			reservedAt.set(id, elsewhere);
 			if (elsewhere.length === 0) {
@@ -109,7 +109,7 @@
 		for (const side of sides.filter(({alive}) => !alive)) {
 			if (!lost.has(side)) {
 				lost.add(side);
-				lose(side, now);
+				removeSide(side, now);
 			}
 		}
 
