--- a/src/policy/assignment/index.ts
+++ b/src/policy/assignment/index.ts
@@ -7,8 +7,8 @@
  * move costs a load of many gigabytes from a rate-limited store.
  *
  * The assignment is a deterministic function of the catalogue and of the observed membership list, so every
- * side computes the same one without communication. If the lists of two sides differ for a while, both may
- * load a model; that costs a load and breaks nothing.
+ * side (the sidecar process of one endpoint) computes the same one without communication. If the lists of two
+ * sides differ for a while, both may load a model; that costs a load and breaks nothing.
  */
 import {type EndpointId, type TargetName, type ZoneName} from '../../model/index.js';
 import {rankByRendezvous} from '../hashing/index.js';
--- a/src/policy/ownership/index.ts
+++ b/src/policy/ownership/index.ts
@@ -1,6 +1,7 @@
 /**
- * Ownership of an endpoint with fencing. If a side is paused and its instance is replaced, both believe that
- * they own the endpoint. Without this module the old one resumes and loads an outdated version.
+ * Ownership of an endpoint with fencing. If a side (the sidecar process of one endpoint) is paused
+ * and its instance is replaced, both the old and the new side consider themselves the owner. Without this
+ * module the old one resumes and loads an outdated version.
  *
  * A side owns its endpoint from the offset of its own record in the log until a later side's record. The
  * record's offset is the fencing number of its orders: engines that check it refuse a lower one. For
--- a/src/policy/placement/subset.ts
+++ b/src/policy/placement/subset.ts
@@ -221,7 +221,7 @@
 
 /** Slowness counts over the first tokens of a response; over more, all requests would go to the fastest of nearly equal endpoints. */
 const slownessTokens = 4;
-/** Ties are broken by the caller's random number, by less than any relevant difference in cost. */
+/** Ties are broken by the given random number, by less than any relevant difference in cost. */
 const jitterMilliseconds = 2;
 
 function jitter(endpoint: EndpointId, random: number): number {
--- a/src/policy/placement/types.ts
+++ b/src/policy/placement/types.ts
@@ -1,6 +1,6 @@
 import {type EndpointId, type RequestId, type RequestSummary, type TargetName, type ZoneName} from '../../model/index.js';
 
-/** What an entry knows of one side; the values lag by at least the network latency. */
+/** What an entry knows of one side (the sidecar process of one endpoint); the values lag by at least the network latency. */
 export type SideView = {
 	readonly endpoint: EndpointId;
 	readonly zone: ZoneName;
@@ -32,7 +32,7 @@
 	readonly reasons: ReadonlyArray<{readonly endpoint: EndpointId; readonly reason: string}>;
 };
 
-/** A placement policy for the requests of one entry. `random` is uniform in [0, 1) and drawn by the caller; `now` is in milliseconds. */
+/** A placement policy for the requests of one entry. `random` is uniform in [0, 1) and passed in; `now` is in milliseconds. */
 export type Placement<State> = {
 	create(settings: {readonly instance: string; readonly zone: ZoneName}): State;
 	step(state: State, event: PlacementEvent, now: number): State;
--- a/src/policy/scheduler/departure-rates.ts
+++ b/src/policy/scheduler/departure-rates.ts
@@ -22,8 +22,8 @@
 export const initialDepartureRates: DepartureRates = {departures: tiers.map(() => 0), busyMilliseconds: tiers.map(() => 0), busySince: tiers.map(() => undefined), updatedAt: 0};
 
 /**
- * Brings the counts up to `now`. Only time with a non-empty queue counts: departures from an empty queue
- * show how much arrived, not how much the endpoint can serve, and a following burst would wrongly be refused.
+ * Brings the counts up to `now`. Only time with a non-empty queue counts: departures while nothing
+ * waits show how much arrived, not how much the endpoint can serve, and a following burst would wrongly be refused.
  */
 export function advanceDepartureRates(departureRates: DepartureRates, reservations: Reservations, now: number): DepartureRates {
 	const elapsed = now - departureRates.updatedAt;
@@ -45,7 +45,7 @@
 	};
 }
 
-/** Counts a reservation that left the queue by an offer or a withdrawal. `left` are the reservations after that. */
+/** Counts a reservation that left the queue by an offer or a withdrawal. `remaining` are the reservations after that. */
 export function countDeparture(departureRates: DepartureRates, {tier}: RequestSummary, remaining: Reservations): DepartureRates {
 	return waitingInTier(remaining, tier).length === 0 ? departureRates : {...departureRates, departures: departureRates.departures.with(tier, departureRates.departures[tier]! + 1)};
 }
@@ -92,8 +92,8 @@
 /**
  * Average time between two departures while requests wait; 0 if it can't be relied on for as long as the
  * request may wait. Otherwise a burst of two seconds makes the lowest tier's queue look as if it could not
- * be served, so that requests for charts, which may wait for minutes, are refused and nothing is left to
- * serve after the burst. Overload that has lasted for half of the class's queue timeout is assumed to last for the rest.
+ * be served, so that requests for charts, which may wait for minutes, are refused although they could be served
+ * after the burst. Overload that has lasted for half of the class's queue timeout is assumed to last for the rest.
  */
 function departureIntervalMilliseconds({departures, busyMilliseconds, busySince}: DepartureRates, {tier, queueMilliseconds}: RequestSummary, now: number): number {
 	const overloadMilliseconds = now - (busySince[tier] ?? now);
@@ -113,7 +113,7 @@
 }
 
 /**
- * Counts the requests that are served before the one at position `own` (0 is the first) of its workspace:
+ * Counts the requests that are served before the one at `position` (0 is the first) of its workspace:
  * in fair order each other workspace gets as many turns, by weight, as this workspace needs until then.
  */
 function countAhead(backlogs: Backlogs, {workspace, weight}: RequestSummary, position: number): number {
--- a/src/policy/scheduler/fairness.ts
+++ b/src/policy/scheduler/fairness.ts
@@ -44,9 +44,9 @@
 }
 
 /**
- * Raises the counter of a workspace that had nothing waiting to the tier's virtual time. Without this, a
- * workspace that was idle all morning keeps a credit that lets it take every slot, and the other workspaces
- * wait until the credit is spent. Only a backlog earns service; idle time does not.
+ * Raises the counter of a returning workspace, one without waiting requests, to the tier's virtual time.
+ * Without this, a workspace that was idle all morning keeps a credit that lets it take every slot, and the
+ * other workspaces wait until the credit is spent. Only a backlog earns service; idle time does not.
  */
 export function raiseToVirtualTime(fairness: Fairness, reservations: Reservations, summary: RequestSummary, settings: SchedulerSettings): Fairness {
 	const {tier, workspace} = summary;
--- a/src/policy/scheduler/floor.ts
+++ b/src/policy/scheduler/floor.ts
@@ -3,7 +3,7 @@
 import {type Context, type SchedulerSettings} from './settings.js';
 
 /**
- * The floor: the minimum share of slot time that each lower tier gets, however much waits in higher tiers.
+ * The floor: the guaranteed minimum share of slot time of each lower tier, however much waits in higher tiers.
  *
  * It guards against higher tiers that fill every slot for hours: without it the lowest tier starves.
  * The share is one of slot time, not of turns: a response of the lowest tier may take a hundred times
--- a/src/policy/scheduler/preemption.ts
+++ b/src/policy/scheduler/preemption.ts
@@ -59,7 +59,7 @@
 	return [...reservations.holders.values()].filter(({phase}) => phase === 'stopping').length;
 }
 
-/** Slots held by each workspace of a tier, the slots per unit of weight among them, and the time before which a run counts as long if it was offered its slot. */
+/** Slots held by each workspace of a tier, the slots per unit of weight, and the time of the offer before which a request counts as long-running. */
 export type SlotShares = {readonly held: ReadonlyMap<string, number>; readonly slotsPerWeight: number; readonly longRunCutoff: number};
 
 /** Counts the slots that a tier's workspaces hold; slots that are being preempted don't count. */
--- a/src/policy/scheduler/refusal.ts
+++ b/src/policy/scheduler/refusal.ts
@@ -20,10 +20,10 @@
 
 const responses: Readonly<Record<RefusalReason, {kind: FailureKind; message: string}>> = {
 	[RefusalReason.full]: {kind: FailureKind.queueFull, message: 'The queue is full.'},
-	[RefusalReason.expired]: {kind: FailureKind.queueTimeout, message: 'The request waited as long as its class may.'},
-	[RefusalReason.hopeless]: {kind: FailureKind.queueTimeout, message: 'The request would wait longer than its class may.'},
-	[RefusalReason.lapsed]: {kind: FailureKind.queueTimeout, message: 'The slot that was offered was not taken in time.'},
-	[RefusalReason.leaving]: {kind: FailureKind.stopping, message: 'The endpoint is leaving.'},
-	[RefusalReason.down]: {kind: FailureKind.noEndpoint, message: 'The endpoint does not answer.'},
-	[RefusalReason.unknown]: {kind: FailureKind.queueTimeout, message: 'No slot is held for this request any more.'},
+	[RefusalReason.expired]: {kind: FailureKind.queueTimeout, message: 'The request reached the queue timeout of its class.'},
+	[RefusalReason.hopeless]: {kind: FailureKind.queueTimeout, message: 'The request would exceed the queue timeout of its class.'},
+	[RefusalReason.lapsed]: {kind: FailureKind.queueTimeout, message: 'The offered slot was not used in time.'},
+	[RefusalReason.leaving]: {kind: FailureKind.stopping, message: 'The endpoint is draining.'},
+	[RefusalReason.down]: {kind: FailureKind.noEndpoint, message: 'The endpoint does not respond.'},
+	[RefusalReason.unknown]: {kind: FailureKind.queueTimeout, message: 'The request no longer holds a slot.'},
 };
--- a/src/policy/scheduler/slots.ts
+++ b/src/policy/scheduler/slots.ts
@@ -13,8 +13,8 @@
 	/** Fractional, so that growth can be slower than one slot a window. */
 	readonly limit: number;
 	/** Over the window: sum of the times between tokens, and number of tokens. */
-	readonly milliseconds: number;
-	readonly tokens: number;
+	readonly windowMilliseconds: number;
+	readonly windowTokens: number;
 	/** The tightest target of a class that ran recently, and when such a class last ran. */
 	readonly targetMilliseconds: number;
 	readonly targetSeenAt: number;
@@ -29,7 +29,7 @@
 /** The state before anything was measured. */
 export function createSlots(settings: SchedulerSettings): Slots {
 	return {
-		limit: settings.initialSlots, milliseconds: 0, tokens: 0, targetMilliseconds: settings.betweenTokensMilliseconds, targetSeenAt: 0,
+		limit: settings.initialSlots, windowMilliseconds: 0, windowTokens: 0, targetMilliseconds: settings.betweenTokensMilliseconds, targetSeenAt: 0,
 		windowStart: 0, wasFull: false, memoryUsed: 0, tokenMilliseconds: 0,
 	};
 }
@@ -49,8 +49,8 @@
 	const weight = Math.min(1, tokens * smoothingFactor);
 	return {
 		...slots,
-		milliseconds: slots.milliseconds + milliseconds,
-		tokens: slots.tokens + tokens,
+		windowMilliseconds: slots.windowMilliseconds + milliseconds,
+		windowTokens: slots.windowTokens + tokens,
 		tokenMilliseconds: slots.tokenMilliseconds === 0 ? each : slots.tokenMilliseconds + ((each - slots.tokenMilliseconds) * weight),
 	};
 }
@@ -80,14 +80,14 @@
 	const next = nextLimit(retargeted, usage, settings);
 	const limit = Math.min(settings.maximumSlots, Math.max(settings.minimumSlots, next));
 	return {
-		...retargeted, limit, milliseconds: 0, tokens: 0, windowStart: now, wasFull: usage.occupied >= Math.floor(limit),
+		...retargeted, limit, windowMilliseconds: 0, windowTokens: 0, windowStart: now, wasFull: usage.occupied >= Math.floor(limit),
 	};
 }
 
 /** Number of decoding steps without a first token after which a started request counts as stalled. */
 export const stalledAfterSteps = 30;
 
-function nextLimit({limit, milliseconds, tokens, targetMilliseconds, memoryUsed, wasFull}: Slots, {occupied, producing, stalled}: SlotUsage, settings: SchedulerSettings): number {
+function nextLimit({limit, windowMilliseconds, windowTokens, targetMilliseconds, memoryUsed, wasFull}: Slots, {occupied, producing, stalled}: SlotUsage, settings: SchedulerSettings): number {
 	// Shrinks from the slots in use, since unused slots did not cause the delay.
 	const inUse = Math.min(limit, Math.max(occupied, 1));
 	if (memoryUsed >= settings.memoryCritical) {
@@ -99,11 +99,11 @@
 		return inUse - stalled;
 	}
 
-	if (tokens === 0) {
+	if (windowTokens === 0) {
 		return limit;
 	}
 
-	const ratio = milliseconds / tokens / targetMilliseconds;
+	const ratio = windowMilliseconds / windowTokens / targetMilliseconds;
 	if (ratio > settings.shrinkAbove) {
 		return inUse * settings.shrinkFactor;
 	}
--- a/src/policy/scheduler/tiered.ts
+++ b/src/policy/scheduler/tiered.ts
@@ -11,10 +11,10 @@
 import {type Scheduler, type SchedulerEvent, type SchedulerStep} from './types.js';
 
 /**
- * The scheduler of one side (the sidecar process of one endpoint): strict priority of tiers except for a bounded floor share, weighted fair
- * queuing between the workspaces of a tier, deadlines within a workspace, a number of slots that adapts to the
- * time between tokens, preemption where a target would be missed otherwise, and an immediate refusal of
- * requests that can't be served in time.
+ * The scheduler of one side (the sidecar process of one endpoint): strict priority of tiers except for a
+ * bounded floor share, weighted fair queuing between the workspaces of a tier, deadlines within a workspace, a
+ * number of slots that adapts to the time between tokens, preemption where a target would be missed
+ * otherwise, and an immediate refusal of requests that can't be served in time.
  *
  * Each of these has a module of its own; this one determines their order: advance time, apply the event,
  * remove what has timed out, offer slots, and preempt only for requests that still have none.
