--- a/src/policy/scheduler/preemption.ts
+++ b/src/policy/scheduler/preemption.ts
@@ -5,8 +5,8 @@
 /**
  * Chooses the request that is preempted for one that would miss its target otherwise: of the lowest tier
  * below it, the request with the smallest context, because that costs least to prefill again on resuming. If
- * there is none, a request of the same tier may be preempted if its workspace holds more than its share of
- * the slots while the waiting request's own workspace holds less.
+ * there is none, a long-running request of the same tier may be preempted if its workspace holds more than
+ * its share of the slots while the waiting request's own workspace holds less.
  *
  * This serves a burst of the top tier that finds all slots taken by long responses of lower tiers, and a
  * workspace that finds every slot of its tier taken by another's long responses. Without preemption these
