--- a/src/bin/cassiaflow-side.ts
+++ b/src/bin/cassiaflow-side.ts
@@ -8,7 +8,7 @@
 	CatalogueFollower, exchangeCatalogue, HttpLogClient, HttpMembershipClient, HttpWeightStoreClient, QuarantineLedger,
 } from '../platform/index.js';
 import {createSettings, createTieredScheduler, type TieredState, type Violation} from '../policy/scheduler/index.js';
-import {ModelKeeper, OrderDesk} from '../side/orders/index.js';
+import {ModelReconciler, OrderSender} from '../side/orders/index.js';
 import {type Backend, EndpointWatch, Side, SideTelemetry} from '../side/index.js';
 import {AdminServer, createLogger, createOperatorRoutes, DecisionJournal, forPart, Metrics, type PartLogger,
 } from '../telemetry/index.js';
@@ -99,15 +99,15 @@
 };
 
 /** Keeps its models in line with the catalogue. */
-function keepModels(settings: SideSettings & {readonly weightsUrl: string}, {instance, control, side, logger, catalogue}: KeeperParts): ModelKeeper {
+function keepModels(settings: SideSettings & {readonly weightsUrl: string}, {instance, control, side, logger, catalogue}: KeeperParts): ModelReconciler {
 	const platform = (baseUrl: string) => ({baseUrl, timeoutMilliseconds: platformTimeoutMilliseconds});
-	return ModelKeeper.create({
+	return ModelReconciler.create({
 		endpoint: settings.endpoint as EndpointId,
 		catalogue,
 		membership: HttpMembershipClient.create(platform(settings.membersUrl)),
 		weights: HttpWeightStoreClient.create({...platform(settings.weightsUrl), timeoutMilliseconds: weightsTimeoutMilliseconds, endpoint: settings.endpoint}),
 		control,
-		openDesk: async () => OrderDesk.create({
+		openOrderSender: async () => OrderSender.create({
 			log: HttpLogClient.create(platform(settings.logUrl)), instance, endpoint: settings.endpoint, control, endpointChecksFences: settings.fencing === 'checks',
 		}),
 		logger,
--- a/src/policy/scheduler/fifo.ts
+++ b/src/policy/scheduler/fifo.ts
@@ -99,7 +99,7 @@
 
 function expire(state: FifoState, {now, settings}: Context): Step {
 	const expired = [...state.reservations.waiting.values()].filter(({expiresAt}) => expiresAt <= now);
-	const lapsed = [...state.reservations.holders.values()].filter(({phase, offeredAt}) => phase === 'offered' && offeredAt + settings.holdMilliseconds <= now);
+	const lapsed = [...state.reservations.holders.values()].filter(({phase, offeredAt}) => phase === 'offered' && offeredAt + settings.offerTimeoutMilliseconds <= now);
 	return andThen(refuseEach(state, expired.map(({id}) => id), RefusalReason.expired), next => refuseEach(next, lapsed.map(({id}) => id), RefusalReason.lapsed));
 }
 
--- a/src/policy/scheduler/settings.ts
+++ b/src/policy/scheduler/settings.ts
@@ -15,7 +15,7 @@
 	/** Queue positions that each lower tier has in addition to the shared capacity, so that it can wait for its floor share at all. */
 	readonly reservedQueuePositions: number;
 	/** How long an offer keeps its slot: some round trips to the entry, and no more than a short wait for other requests. */
-	readonly holdMilliseconds: number;
+	readonly offerTimeoutMilliseconds: number;
 	/** Target time between tokens for classes that specify none. */
 	readonly betweenTokensMilliseconds: number;
 	/** Window over which the time between tokens is averaged before the number of slots changes. */
@@ -59,7 +59,7 @@
 	maximumSlots: 64,
 	queueLimit: 128,
 	reservedQueuePositions: 4,
-	holdMilliseconds: 250,
+	offerTimeoutMilliseconds: 250,
 	betweenTokensMilliseconds: 50,
 	slotWindowMilliseconds: 100,
 	growBelow: 0.85,
--- a/src/policy/scheduler/tiered-decisions.ts
+++ b/src/policy/scheduler/tiered-decisions.ts
@@ -20,7 +20,7 @@
 	const {reservations} = state;
 	const expired = [...reservations.waiting.values()].filter(({expiresAt}) => expiresAt <= now);
 	const hopeless = tiers.flatMap(tier => findHopeless(state.departureRates, reservations, tier, now)).filter(({expiresAt, summary}) => expiresAt > now && (summary.preemptions ?? 0) === 0);
-	const lapsed = [...reservations.holders.values()].filter(({phase, offeredAt}) => phase === 'offered' && offeredAt + settings.holdMilliseconds <= now);
+	const lapsed = [...reservations.holders.values()].filter(({phase, offeredAt}) => phase === 'offered' && offeredAt + settings.offerTimeoutMilliseconds <= now);
 	let remaining = reservations;
 	for (const {id} of [...expired, ...hopeless, ...lapsed]) {
 		remaining = remove(remaining, id);
--- a/src/side/orders/index.ts
+++ b/src/side/orders/index.ts
@@ -1,3 +1,3 @@
 /** Orders to the endpoint's engine, from its owner only. */
-export {OrderDesk, orderStream, takeoverMilliseconds, type OrderContent, type OrderDeskSettings, type OrderOutcome} from './order-desk.js';
-export {ModelKeeper, type ModelKeeperOptions} from './model-keeper.js';
+export {OrderSender, orderStream, takeoverMilliseconds, type OrderContent, type OrderSenderSettings, type OrderOutcome} from './order-sender.js';
+export {ModelReconciler, type ModelReconcilerOptions} from './model-reconciler.js';
--- a/src/side/orders/model-keeper.ts
+++ b/src/side/orders/model-reconciler.ts
@@ -7,7 +7,7 @@
 	createAssignment, type EngineMember, modelsForEndpoint, observeMembers,
 } from '../../policy/assignment/index.js';
 import {type PartLogger} from '../../telemetry/index.js';
-import {type OrderContent, type OrderDesk} from './order-desk.js';
+import {type OrderContent, type OrderSender} from './order-sender.js';
 
 /** Loads take minutes and assignments change a few times an hour: a slower round costs nothing. */
 const roundMilliseconds = 5000;
@@ -15,14 +15,14 @@
 /** A model at a version, as it is loaded or wanted. */
 type LoadedModel = {readonly name: string; readonly version: string};
 
-export type ModelKeeperOptions = {
+export type ModelReconcilerOptions = {
 	readonly endpoint: EndpointId;
 	readonly catalogue: () => Catalogue;
 	readonly membership: MembershipClient;
 	readonly weights: WeightStoreClient;
 	readonly control: Pick<EngineControl, 'models'>;
 	/** Becomes the endpoint's owner. It fails while the log is down, and is then asked again. */
-	readonly openDesk: () => Promise<Pick<OrderDesk, 'order'>>;
+	readonly openOrderSender: () => Promise<Pick<OrderSender, 'order'>>;
 	readonly logger: PartLogger;
 	/** Called when the engine serves other models than before. */
 	readonly onModels: (models: readonly TargetName[]) => void;
@@ -34,22 +34,22 @@
  * fetched from the weight store, then loaded by an order. Only models with `replicas` above 0 are
  * placed; the others stay where the settings put them. Nothing is ever unloaded.
  */
-export class ModelKeeper implements AsyncDisposable {
-	static create(options: ModelKeeperOptions): ModelKeeper {
-		const keeper = new ModelKeeper(options);
+export class ModelReconciler implements AsyncDisposable {
+	static create(options: ModelReconcilerOptions): ModelReconciler {
+		const keeper = new ModelReconciler(options);
 		keeper.#done = spawn('model-keeper', () => keeper.#run());
 		return keeper;
 	}
 
-	readonly #options: ModelKeeperOptions;
+	readonly #options: ModelReconcilerOptions;
 	readonly #abort = new AbortController();
 	#assignment = createAssignment();
 	#known = '';
 	#superseded = false;
-	#desk: Pick<OrderDesk, 'order'> | undefined;
+	#desk: Pick<OrderSender, 'order'> | undefined;
 	#done: Promise<void> = Promise.resolve();
 
-	private constructor(options: ModelKeeperOptions) {
+	private constructor(options: ModelReconcilerOptions) {
 		this.#options = options;
 	}
 
@@ -83,7 +83,7 @@
 				return;
 			}
 
-			this.#desk ??= yield * wait(this.#options.openDesk());
+			this.#desk ??= yield * wait(this.#options.openOrderSender());
 			yield * this.#readMembership();
 			const missing = this.#wanted(placed).find(model => !isLoaded(loaded, model));
 			if (missing !== undefined) {
@@ -128,7 +128,7 @@
 	 * The store paces fetches by refusing some; the next round asks again. The order goes out only
 	 * when the weights are there, so an engine never waits for them with a slot blocked.
 	 */
-	* #load(model: ModelEntry, desk: Pick<OrderDesk, 'order'>): Body<void> {
+	* #load(model: ModelEntry, desk: Pick<OrderSender, 'order'>): Body<void> {
 		const {weights, logger} = this.#options;
 		yield * wait(weights.fetch(model.name, model.version, this.#abort.signal));
 		const orders: readonly OrderContent[] = [
--- a/src/side/orders/order-desk.ts
+++ b/src/side/orders/order-sender.ts
@@ -13,7 +13,7 @@
 	/** Not known to be in effect: the log or the endpoint did not answer. Asking again is harmless. */
 		| {readonly type: 'failed'; readonly reason: string};
 
-export type OrderDeskSettings = {
+export type OrderSenderSettings = {
 	readonly log: LogClient;
 	readonly instance: string;
 	readonly endpoint: string;
@@ -32,20 +32,20 @@
 }
 
 /** The only giver of orders to one endpoint, for as long as its side is the endpoint's owner. */
-export class OrderDesk {
+export class OrderSender {
 	/** Becomes the owner, which supersedes every earlier side. Throws if the log can't be reached. */
-	static async create(settings: OrderDeskSettings): Promise<OrderDesk> {
-		const desk = new OrderDesk(settings);
+	static async create(settings: OrderSenderSettings): Promise<OrderSender> {
+		const desk = new OrderSender(settings);
 		await spawn('own-endpoint', () => desk.#own(), ignoreFailure);
 		return desk;
 	}
 
-	readonly #settings: OrderDeskSettings;
+	readonly #settings: OrderSenderSettings;
 	readonly #stream: string;
 	#ownership: Ownership = createOwnership();
 	#ownedAt = 0;
 
-	private constructor(settings: OrderDeskSettings) {
+	private constructor(settings: OrderSenderSettings) {
 		this.#settings = settings;
 		this.#stream = orderStream(settings.endpoint);
 	}
--- a/src/side/work.ts
+++ b/src/side/work.ts
@@ -22,7 +22,7 @@
 /** How often the scheduler hears of one stream's progress; slots are adapted over longer windows. */
 const reportMilliseconds = 20;
 /** How long an offered slot is kept for an entry that does not answer. */
-export const offerHoldMilliseconds = createSettings().holdMilliseconds;
+export const offerHoldMilliseconds = createSettings().offerTimeoutMilliseconds;
 
 export type WorkOptions<State> = {
 	readonly backend: Backend;
--- a/test/policy/scheduler/properties.test.ts
+++ b/test/policy/scheduler/properties.test.ts
@@ -133,7 +133,7 @@
 	}
 }
 
-const smallSettings = {initialSlots: 3, queueLimit: 6, reservedQueuePositions: 2, holdMilliseconds: 100};
+const smallSettings = {initialSlots: 3, queueLimit: 6, reservedQueuePositions: 2, offerTimeoutMilliseconds: 100};
 const schedulers: ReadonlyArray<[string, () => Scheduler<unknown>]> = [
 	['tiered', () => createTieredScheduler(smallSettings)],
 	['first come', () => createFifoScheduler(smallSettings)],
--- a/test/side/model-keeper.test.ts
+++ b/test/side/model-keeper.test.ts
@@ -7,7 +7,7 @@
 import {EngineControl} from '../../src/endpoint/index.js';
 import {type EndpointId} from '../../src/model/index.js';
 import {HttpLogClient, HttpMembershipClient, HttpWeightStoreClient} from '../../src/platform/index.js';
-import {ModelKeeper, OrderDesk} from '../../src/side/orders/index.js';
+import {ModelReconciler, OrderSender} from '../../src/side/orders/index.js';
 import {createLogger, forPart} from '../../src/telemetry/index.js';
 
 const timeoutMilliseconds = 2000;
@@ -37,16 +37,16 @@
 		this.weights = weights;
 	}
 
-	keeper(index: number, instance = `side-${index}`): ModelKeeper {
+	keeper(index: number, instance = `side-${index}`): ModelReconciler {
 		const control = EngineControl.create({baseUrl: this.engines[index]!.url, timeoutMilliseconds});
 		const endpoint = `engine-${index}`;
-		return ModelKeeper.create({
+		return ModelReconciler.create({
 			endpoint: endpoint as EndpointId,
 			catalogue: () => ({models: () => this.models}) as unknown as Catalogue,
 			membership: HttpMembershipClient.create({baseUrl: this.members.url, timeoutMilliseconds}),
 			weights: HttpWeightStoreClient.create({baseUrl: this.weights.url, timeoutMilliseconds, endpoint}),
 			control,
-			openDesk: async () => OrderDesk.create({
+			openOrderSender: async () => OrderSender.create({
 				log: HttpLogClient.create({baseUrl: this.log.url, timeoutMilliseconds}), instance, endpoint, control, endpointChecksFences: true,
 			}),
 			logger,
--- a/test/side/orders.test.ts
+++ b/test/side/orders.test.ts
@@ -4,7 +4,7 @@
 import {EngineControl, type OrderResult} from '../../src/endpoint/index.js';
 import {HttpLogClient} from '../../src/platform/index.js';
 import {createOwnership, decideOrder, foldOwnership, ownershipLeaseMilliseconds} from '../../src/policy/ownership/index.js';
-import {OrderDesk, type OrderDeskSettings} from '../../src/side/orders/index.js';
+import {OrderSender, type OrderSenderSettings} from '../../src/side/orders/index.js';
 
 const order = (version: string) => ({order: 'load-model' as const, name: 'model', version});
 
@@ -34,8 +34,8 @@
 	await use({log, engine, client, control});
 }
 
-async function desk({client, control}: Harness, instance: string, more: Partial<OrderDeskSettings>): Promise<OrderDesk> {
-	return OrderDesk.create({log: client, control, instance, endpoint: 'e', endpointChecksFences: true, ...more});
+async function desk({client, control}: Harness, instance: string, more: Partial<OrderSenderSettings>): Promise<OrderSender> {
+	return OrderSender.create({log: client, control, instance, endpoint: 'e', endpointChecksFences: true, ...more});
 }
 
 for (const endpointChecksFences of [true, false]) {
