--- a/src/policy/dispatch/contention.ts
+++ b/src/policy/dispatch/contention.ts
@@ -1,25 +1,26 @@
-import {reactionsInBacklog} from './engine-cost.js';
+import {backlogPropagations} from './engine-cost.js';
 
 /**
- * Failure: an endpoint falls below the bound, and each of many instances that have requests for it sends
- * one before it hears of the others. Symptom: first events come after five times the predicted time,
- * and the urgent wait behind them. Chance lets in so many times what is read in that time.
+ * Limits how many requests of all instances together take a free place within one propagation delay, in multiples of
+ * what the endpoint prefills in that time. Without the limit, once the backlog of an endpoint falls below its bound,
+ * every instance with a waiting request sends one before it receives the load reports of the others; first events then
+ * come after five times the predicted time, and urgent requests wait behind them.
  */
-const chanceFactor = 2.5;
+const sendFactor = 2.5;
 
-/** What decides how many requests of all instances should take one place in one reaction. */
+/** What determines how many requests of all instances should take one free place within one propagation delay. */
 export type Contention = {
-	/** Requests of other instances that are taken to want the same place. */
+	/** Requests at other instances that are assumed to compete for the same place. */
 	readonly contenders: number;
-	/** How often each of them is looked at. */
+	/** Time between two placement searches for one of these requests. */
 	readonly searchIntervalMilliseconds: number;
-	/** How long the endpoint will read this one. */
+	/** Time that the endpoint will take to prefill this request. */
 	readonly prefillMilliseconds: number;
 	readonly propagationMilliseconds: number;
 };
 
-/** The chance with which a request that found a place takes it now. */
-export function sendProbability({contenders, searchIntervalMilliseconds: lookMilliseconds, prefillMilliseconds: readingMilliseconds, propagationMilliseconds}: Contention): number {
-	const readInReaction = propagationMilliseconds * (1 + reactionsInBacklog) / Math.max(readingMilliseconds, 1);
-	return Math.min(1, chanceFactor * readInReaction * lookMilliseconds / propagationMilliseconds / Math.max(contenders, Number.EPSILON));
+/** Probability with which a request that has found an available endpoint is sent there now. */
+export function sendProbability({contenders, searchIntervalMilliseconds, prefillMilliseconds, propagationMilliseconds}: Contention): number {
+	const prefilledInPropagation = propagationMilliseconds * (1 + backlogPropagations) / Math.max(prefillMilliseconds, 1);
+	return Math.min(1, sendFactor * prefilledInPropagation * searchIntervalMilliseconds / propagationMilliseconds / Math.max(contenders, Number.EPSILON));
 }
--- a/src/policy/dispatch/demand.ts
+++ b/src/policy/dispatch/demand.ts
@@ -3,25 +3,26 @@
 import {type PromptPart} from './prefix-cache.js';
 import {type Tuning} from './tuning.js';
 
-/** What one request wants of an endpoint. */
+/** What one request requires of an endpoint. */
 export type Demand = {
 	readonly service: string;
-	/** 0 is the most urgent. */
+	/** Urgency rank; 0 is the most urgent. */
 	readonly urgency: number;
-	/** The range of urgency among the service's requests that are not tight. */
+	/** Ranks of the most and the least urgent requests of the service that are not latency-critical. */
 	readonly urgencies: {readonly most: number; readonly least: number};
 	readonly targetMilliseconds: number;
 	readonly parts: readonly PromptPart[];
+	/** True if the pause limit of its route is the strictest of the service. */
 	readonly isLatencyCritical: boolean;
-	/** The pause that must not be exceeded, where there is one. */
+	/** Longest pause allowed between two events of the stream; undefined where the route sets no limit. */
 	readonly maxPauseMilliseconds: number | undefined;
-	/** The shortest pause that any stream of the service must keep. */
+	/** The strictest pause limit among the routes of the service. */
 	readonly strictestPauseMilliseconds: number;
-	/** How long it has passed over free endpoints for a better one. */
+	/** How long the request has deferred: the time since it first declined an available endpoint for a better one. */
 	readonly waitedMilliseconds: number;
-	/** Since the request arrived. */
+	/** Time since the request arrived. */
 	readonly elapsedMilliseconds: number;
-	/** True if it holds back for someone more urgent who waits for the service at another instance. */
+	/** True if a more urgent request waits for the service at another instance, so that this one yields. */
 	readonly isOutranked: boolean;
 };
 
@@ -31,46 +32,49 @@
 	readonly zone: ZoneName;
 	readonly slots: number;
 	readonly isEngine: boolean;
-	/** The hash of its id: candidates come in the order of hashes, in which tight streams fill them. */
+	/** Hash of the id. Candidates are sorted by it, which is the order in which latency-critical streams fill them. */
 	readonly hash: number;
 };
 
-/** Another engine from which the chosen one takes a part of the prompt. */
+/** A cache transfer: the chosen engine fetches cached prompt tokens from the engine `from`. */
 export type Fetch = {readonly from: string; readonly tokens: number; readonly milliseconds: number};
 
-/** Send it there now. */
+/** The request is sent to this endpoint now. */
 export type Place = {
 	readonly type: 'place';
 	readonly endpoint: string;
-	/** What it has to read, beside what it fetches. */
+	/** Prompt tokens that the endpoint has to prefill, without those that it fetches. */
 	readonly prefillTokens: number;
 	readonly fetch: Fetch | undefined;
-	/** From sending to the first event, or to the answer. */
+	/** Predicted time from sending to the first event, or to the response of a plain service. */
 	readonly expectedMilliseconds: number;
-	/** What the endpoint that holds most of the prompt would have had to read. */
+	/** The fewest tokens that any candidate would have had to prefill. */
 	readonly leastPrefillTokens: number;
 };
 
-/** None is good enough yet; the best is in about so long. */
+/** No endpoint is good enough yet; the best one is expected to be so in `milliseconds`. */
 export type Wait = {
 	readonly type: 'wait';
 	readonly endpoint: string;
 	readonly milliseconds: number;
-	/** True if one is free, but a better one is worth waiting for: others may take the free one. */
+	/**
+	 * True if an endpoint is available but a better one is worth waiting for; other requests may take the available
+	 * one.
+	 */
 	readonly isDeferral: boolean;
 };
 
 export type Choice = Place | Wait;
 
-/** When and from where a choice is made. */
+/** Conditions under which a placement is chosen. */
 export type PlacementContext = {
 	readonly zone: ZoneName;
 	readonly now: number;
-	/** How much of the fleet this instance hears of. */
+	/** The part of the fleet whose load reports this instance receives. */
 	readonly view: FleetView;
-	/** Until this instance hears what a neighbour has sent somewhere. */
+	/** Propagation delay: the time until this instance receives a neighbour's report of a placement. */
 	readonly propagationMilliseconds: number;
-	/** At which pace engines pass kept prompts to each other; absent where they don't. */
+	/** Rate of cache transfers between engines; undefined where engines do not support them. */
 	readonly fetchTokensPerMillisecond?: number | undefined;
 	readonly tuning: Tuning;
 };
--- a/src/policy/dispatch/endpoint-health.ts
+++ b/src/policy/dispatch/endpoint-health.ts
@@ -1,59 +1,65 @@
 /**
- * Load pattern: an endpoint crashes, hangs or fails part of its requests while its liveness check is
- * good. Least-loaded placement then prefers it, since what fails fast leaves room. Evidence is what
- * its answers were, against what is usual for the service, since some services fail by themselves.
+ * Health of one endpoint as its responses show it. Load pattern: an endpoint crashes, hangs or fails part of its
+ * requests while its liveness check passes. Least-loaded placement then prefers it, because requests that fail fast
+ * leave its slots free. Its failures are compared with the failure share that is usual for the service, since some
+ * services fail part of their requests by themselves.
  */
 export type EndpointHealth = {
-	/** Share of recent requests that failed, the newest counting most. */
+	/** Share of recent requests that failed, weighted toward the newest. */
 	readonly failureShare: number;
-	readonly consecutive: number;
+	readonly consecutiveUnreachable: number;
 	readonly suspendedUntil: number;
-	/** How long the next suspension lasts. */
-	readonly nextMilliseconds: number;
-	/** A suspended endpoint's one trial, from its start until its outcome. */
+	/** Duration of the next suspension. */
+	readonly nextSuspensionMilliseconds: number;
+	/** Start of the only trial request to a suspended endpoint; undefined once it has an outcome. */
 	readonly trialAt: number | undefined;
 };
 
 export type HealthEvent
 	= | {readonly type: 'answered'}
-	/** The endpoint's own error. */
+	/** The endpoint responded with an error of its own. */
 		| {readonly type: 'failed'; readonly usualShare: number}
-	/** No connection, a broken one, or silence: no answer of the endpoint at all. */
+	/** The endpoint gave no response: the connection failed, broke or stayed silent. */
 		| {readonly type: 'unreachable'}
 		| {readonly type: 'trial'};
 
-/** Two in a row: one lost answer is common, two in a row on one endpoint are rare at three in a hundred. */
-const consecutiveLimit = 2;
-/** Weight of one answer: about the last ten count. */
-const weight = 0.1;
-/** Suspended above the usual share by this much: between a service's own errors and an endpoint that fails four in ten. */
-const excessShare = 0.3;
-/** The first suspension is about the time of a fast restart, the longest bounds how late a recovery is seen. */
-const firstMilliseconds = 600;
-const longestMilliseconds = 5000;
-/** A trial without an outcome is taken back after so long. */
-const trialMilliseconds = 3000;
+/** One lost response is common; two in a row on one endpoint are rare where three in a hundred are lost. */
+const consecutiveUnreachableLimit = 2;
+/** Weight of one response in the failure share: about the last ten count. */
+const responseWeight = 0.1;
+/**
+ * An endpoint is suspended when its failure share exceeds the usual one by this much: more than a service's own errors,
+ * less than an endpoint that fails four requests in ten.
+ */
+const excessFailureShare = 0.3;
+/**
+ * The first suspension takes about as long as a fast restart; the longest one bounds how late a recovery is noticed.
+ */
+const firstSuspensionMilliseconds = 600;
+const longestSuspensionMilliseconds = 5000;
+/** A trial request without an outcome no longer counts after this time, and another one may be sent. */
+const trialTimeoutMilliseconds = 3000;
 
 export function createEndpointHealth(): EndpointHealth {
-	return {failureShare: 0, consecutive: 0, suspendedUntil: -Infinity, nextMilliseconds: firstMilliseconds, trialAt: undefined};
+	return {failureShare: 0, consecutiveUnreachable: 0, suspendedUntil: -Infinity, nextSuspensionMilliseconds: firstSuspensionMilliseconds, trialAt: undefined};
 }
 
 export function stepEndpointHealth(state: EndpointHealth, event: HealthEvent, now: number): EndpointHealth {
 	switch (event.type) {
 		case 'answered': {
-			const failureShare = state.failureShare * (1 - weight);
-			return {failureShare, consecutive: 0, suspendedUntil: -Infinity, trialAt: undefined, nextMilliseconds: firstMilliseconds};
+			const failureShare = state.failureShare * (1 - responseWeight);
+			return {failureShare, consecutiveUnreachable: 0, suspendedUntil: -Infinity, trialAt: undefined, nextSuspensionMilliseconds: firstSuspensionMilliseconds};
 		}
 
 		case 'failed': {
-			const failureShare = grow(state.failureShare);
-			const isExcess = failureShare > event.usualShare + excessShare;
+			const failureShare = raiseFailureShare(state.failureShare);
+			const isExcess = failureShare > event.usualShare + excessFailureShare;
 			return isExcess ? suspend({...state, failureShare}, now) : {...state, failureShare, trialAt: undefined};
 		}
 
 		case 'unreachable': {
-			const next = {...state, failureShare: grow(state.failureShare), consecutive: state.consecutive + 1};
-			return next.consecutive >= consecutiveLimit || state.trialAt !== undefined ? suspend(next, now) : next;
+			const updated = {...state, failureShare: raiseFailureShare(state.failureShare), consecutiveUnreachable: state.consecutiveUnreachable + 1};
+			return updated.consecutiveUnreachable >= consecutiveUnreachableLimit || state.trialAt !== undefined ? suspend(updated, now) : updated;
 		}
 
 		case 'trial': {
@@ -62,25 +68,27 @@
 	}
 }
 
-/** Whether requests may go there: `trial` allows one, to see whether it recovered. */
+/**
+ * Whether requests may be sent to the endpoint; `trial` admits one request, to see whether the endpoint has recovered.
+ */
 export function availability({suspendedUntil, trialAt}: EndpointHealth, now: number): 'open' | 'trial' | 'suspended' {
 	if (suspendedUntil === -Infinity) {
 		return 'open';
 	}
 
-	const hasTrial = trialAt !== undefined && now - trialAt < trialMilliseconds;
+	const hasTrial = trialAt !== undefined && now - trialAt < trialTimeoutMilliseconds;
 	return now < suspendedUntil || hasTrial ? 'suspended' : 'trial';
 }
 
-function grow(share: number): number {
-	return (share * (1 - weight)) + weight;
+function raiseFailureShare(share: number): number {
+	return (share * (1 - responseWeight)) + responseWeight;
 }
 
 function suspend(state: EndpointHealth, now: number): EndpointHealth {
 	return {
 		...state,
 		trialAt: undefined,
-		suspendedUntil: now + state.nextMilliseconds,
-		nextMilliseconds: Math.min(longestMilliseconds, state.nextMilliseconds * 2),
+		suspendedUntil: now + state.nextSuspensionMilliseconds,
+		nextSuspensionMilliseconds: Math.min(longestSuspensionMilliseconds, state.nextSuspensionMilliseconds * 2),
 	};
 }
--- a/src/policy/dispatch/engine-cost.ts
+++ b/src/policy/dispatch/engine-cost.ts
@@ -1,171 +1,212 @@
 /**
- * What one engine costs one request, in milliseconds: what the caller waits for its first event, what the
- * reading costs the service, and what it does to streams with tight pauses.
+ * Cost of placing one request on one engine, in milliseconds: the wait of its caller for the first event, the prefill
+ * time it takes from the service, and the delay it causes to latency-critical streams.
  */
 import {type Candidate, type PlacementContext, type Demand, type Fetch} from './demand.js';
 import {type EndpointLoad, type LoadTracker} from './load.js';
 import {prefillMilliseconds} from './speed.js';
-import {chooseFetch, type Holder, isWorthFetching} from './transfer.js';
+import {chooseFetch, type CacheHolder, isWorthFetching} from './transfer.js';
 
 /**
- * What may wait to be read at an endpoint before one more is sent there, for the most and the least
- * urgent; the rest waits here, where its order can change. A stream with the tightest pauses goes at
- * once. Instances have no common line: whoever may send at a longer backlog comes first everywhere,
- * since the least urgent come in only where next to nothing waits. Under the lower bound, one and a half
- * of the time in which instances hear of each other, engines would fall idle between two decisions;
- * above the upper one, four times as long, an urgent stream finds a prompt or two before it. Backlogs
- * move by more than the lower bound before all have heard of it: a smaller factor orders nothing.
+ * Bounds on the backlog (prefill that an endpoint still has to do, as time) up to which one more request is sent there;
+ * other requests wait in the instance's queue, where their order can still change. The least urgent requests are sent
+ * up to `backlogPropagations` propagation delays, the most urgent up to `mostUrgentFactor` times as much;
+ * latency-critical streams are sent at once. Instances share no queue, so these bounds order requests between them: a
+ * request that is sent at a longer backlog goes first everywhere, since the least urgent are sent only where almost
+ * nothing waits.
+ *
+ * Below a lower bound of one and a half propagation delays, engines would idle between two placements. Above an upper
+ * bound of four times that, an urgent stream would find a prompt or two ahead of it. Backlogs change by more than the
+ * lower bound before all instances have received the reports, so a smaller factor would order nothing.
  */
-export const reactionsInBacklog = 1.5;
-const urgentFactor = 4;
+export const backlogPropagations = 1.5;
+const mostUrgentFactor = 4;
 /**
- * Whoever is outranked takes an endpoint that has had nothing to read for so long: by then an instance where the more urgent wait
- * has heard that it is free and has looked at its line, so that they can't use it.
+ * An outranked request may take an endpoint that has been idle for this many propagation delays: by then an instance
+ * with more urgent requests has received the report that the endpoint is idle and has scanned its queue, so they can't
+ * use it.
  */
-const outrankedReactions = 2;
-/** The part of an endpoint's slots that is left to who is more urgent elsewhere, rounded up. */
-const slotsLeft = 1 / 8;
-/** Tight streams may be so many above an endpoint's slots: it admits the urgent first, and preempts for them. */
-const slotsAbove = 4;
+const outrankedPropagations = 2;
 /**
- * What waits to be read beside tight streams stays under this part of their pause, however long instances need to hear of each other.
- * Failure: the next prompt is there before the last is read. Symptom: an engine reads without rest, and every event of a tight
- * stream waits for as many prompts' chunks as it has tokens.
+ * Share of the slots of an endpoint, rounded up, that outranked requests leave to the more urgent ones of other
+ * instances.
  */
-const besideTightShare = 0.25;
-/** How likely it is that the others have had a beginning read at its first home, where nothing was heard of it. */
-const unheardReading = 0.5;
-/** A later endpoint in the order costs a tight stream so much more for each place: under the gain of an idle one. */
-const orderMilliseconds = 6;
-/** Above this part of its slots an endpoint takes no more tight streams while others have room. */
-const crowdedFill = 0.75;
-/** What a millisecond of reading costs beside tight streams, for each of so many of them at most. */
-const tightWeight = 1.5;
-const tightCounted = 4;
-/** What a share of time spent reading costs a tight stream: it meets that for its whole length. */
-const readingShareMilliseconds = 150;
-/** A contiguous reading above this part of the pause is taken to break it. */
-const pauseShare = 0.5;
-const brokenPauseWeight = 4;
-/** Lateness against the target weighs more than being early. */
-const latenessShare = 0.7;
+const reservedSlotShare = 1 / 8;
+/**
+ * Latency-critical streams may exceed the slots of an endpoint by this many: it admits urgent requests first and
+ * preempts others for them.
+ */
+const extraSlots = 4;
+/**
+ * Where latency-critical streams run, the backlog of other requests stays below this share of their pause limit,
+ * however long the propagation delay is. Without this bound the next prompt arrives before the last one is prefilled,
+ * so that the engine prefills without a break and every event of a latency-critical stream waits for as many prompt
+ * chunks as it has tokens.
+ */
+const besideCriticalPauseShare = 0.25;
+/**
+ * Probability that other instances have had a prefix prefilled at its first preferred endpoint, where no report of it
+ * was received.
+ */
+const unreportedPrefillProbability = 0.5;
+/** Cost of each position in the fill order to a latency-critical stream; less than the advantage of an idle engine. */
+const fillPositionMilliseconds = 6;
+/** An engine with this share of its slots in use gets no more latency-critical streams while others have room. */
+const crowdedSlotShare = 0.75;
+/**
+ * Cost of a millisecond of prefill for each latency-critical stream beside it, counted for at most this many streams.
+ */
+const criticalDelayWeight = 1.5;
+const maxCountedCriticalRuns = 4;
+/** Cost of an engine's prefill time share to a latency-critical stream, which is affected for its whole duration. */
+const prefillTimeShareMilliseconds = 150;
+/** Uninterrupted prefill above this share of the pause limit is assumed to exceed the limit. */
+const safePauseShare = 0.5;
+const exceededPauseWeight = 4;
+/**
+ * Time beyond this share of the target counts as lateness and is weighted; being early gains less than being late
+ * costs.
+ */
+const latenessTargetShare = 0.7;
 const latenessWeight = 3;
-/** What a token costs that is fetched, in weights of an idle service: it takes no engine's time. */
+/**
+ * Weight of a fetched token, on the scale of the prefill weight of an idle service: a transfer takes no engine time.
+ */
 const fetchWeight = 5;
 
-/** What a candidate costs, and how long until it may get the request. */
-export type Judged = {readonly cost: number; readonly wait: number; readonly prefillTokens: number; readonly fetch: Fetch | undefined; readonly expected: number};
+/** Cost of a candidate, the wait until the request may be sent to it, and what the request needs there. */
+export type CostEstimate = {readonly cost: number; readonly waitMilliseconds: number; readonly prefillTokens: number; readonly fetch: Fetch | undefined; readonly expectedMilliseconds: number};
 
-/** What all candidates together show; counted once for a choice. */
-export type Overview = {
+/** Totals over all candidates, computed once for each choice. */
+export type CandidateSummary = {
 	readonly loads: readonly EndpointLoad[];
-	readonly readingWeight: number;
-	/** The first so many candidates are left to tight streams. */
-	readonly takenByTight: number;
-	/** Tight streams begin at any of so many candidates: those left to them, or a few more where this instance knows little. */
-	readonly spread: number;
-	/** The part of all requests of which this instance knows, 0 to 1. */
-	readonly seen: number;
-	/** A draw of the request, for the place at which it begins among the engines of tight streams. */
-	readonly shift: number;
-	/** Who holds most of the prompt; looked for at the first engine that would have to read much. */
-	readonly holders: () => readonly Holder[];
+	readonly prefillWeight: number;
+	/** Number of candidates, from the first on, that are reserved for latency-critical streams. */
+	readonly reservedCount: number;
+	/**
+	 * Number of candidates at one of which a latency-critical stream starts: the reserved ones, or a few more where few
+	 * of the fleet's requests are visible.
+	 */
+	readonly startRange: number;
+	/** Share of the fleet's requests that is visible to this instance, 0 to 1. */
+	readonly visibleShare: number;
+	/** Random draw of the request that selects the engine at which a latency-critical stream starts. */
+	readonly startOffset: number;
+	/** Engines with most of the prompt cached; computed for the first engine that would have to prefill much. */
+	readonly holders: () => readonly CacheHolder[];
 };
 
-/** One engine among the others. */
-export type Engine = {
+/** One engine and the conditions under which its cost is estimated. */
+export type EngineContext = {
 	readonly load: EndpointLoad;
-	/** Its place in the order in which tight streams fill engines. */
-	readonly place: number;
-	/** True if it is the first home of the prompt's beginning. */
-	readonly isHome: boolean;
-	readonly overview: Overview;
-	readonly circumstances: PlacementContext;
+	/** Position in the order in which latency-critical streams fill engines. */
+	readonly position: number;
+	/** True if it is the first preferred endpoint of the prompt's prefix. */
+	readonly isPreferred: boolean;
+	readonly summary: CandidateSummary;
+	readonly context: PlacementContext;
 };
 
-export function judgeEngine(book: LoadTracker, demand: Demand, candidate: Candidate, {load, place, isHome, overview, circumstances}: Engine): Judged {
-	const {fetchTokensPerMillisecond, tuning} = circumstances;
-	const speed = book.speed(demand.service);
-	const heardTokens = book.unread(candidate.id, demand.parts);
-	const lackedTokens = isHome ? keptAtHome(demand, heardTokens, overview.seen) : heardTokens;
-	const fetch = fetchTokensPerMillisecond === undefined || !isWorthFetching(demand.parts, lackedTokens, speed)
+export function estimateEngineCost(tracker: LoadTracker, demand: Demand, candidate: Candidate, {load, position, isPreferred, summary, context}: EngineContext): CostEstimate {
+	const {fetchTokensPerMillisecond, tuning} = context;
+	const speed = tracker.speed(demand.service);
+	const reportedUncachedTokens = tracker.uncachedTokens(candidate.id, demand.parts);
+	const uncachedTokens = isPreferred ? uncachedAtPreferred(demand, reportedUncachedTokens, summary.visibleShare) : reportedUncachedTokens;
+	const fetch = fetchTokensPerMillisecond === undefined || !isWorthFetching(demand.parts, uncachedTokens, speed)
 		? undefined
-		: chooseFetch(overview.holders(), candidate, {prefillTokens: lackedTokens, speed, tokensPerMillisecond: fetchTokensPerMillisecond});
-	const prefillTokens = lackedTokens - (fetch?.tokens ?? 0);
-	const reading = prefillMilliseconds(speed, prefillTokens);
-	const expected = load.backlogMilliseconds + (fetch?.milliseconds ?? 0) + reading + speed.baseMilliseconds;
-	const slots = usableSlots(candidate, demand) + (demand.isLatencyCritical ? slotsAbove : 0);
-	const span = load.backlogMilliseconds + reading;
-	const wait = load.running >= slots ? speed.baseMilliseconds : waitFor(demand, load, circumstances);
-	const harm = demand.isLatencyCritical ? tightCost(demand, candidate, {load, place, span, overview, tuning}) : harmToOthers(demand, {load, place, span, reading, overview, tuning});
-	const fetching = fetch === undefined ? 0 : fetch.milliseconds + (prefillMilliseconds(speed, fetch.tokens) * tuning.fetchShare * fetchWeight);
-	const cost = load.backlogMilliseconds + (reading * overview.readingWeight) + fetching + lateness(wait + expected, demand) + harm
+		: chooseFetch(summary.holders(), candidate, {uncachedTokens, speed, tokensPerMillisecond: fetchTokensPerMillisecond});
+	const prefillTokens = uncachedTokens - (fetch?.tokens ?? 0);
+	const ownPrefillMilliseconds = prefillMilliseconds(speed, prefillTokens);
+	const expectedMilliseconds = load.backlogMilliseconds + (fetch?.milliseconds ?? 0) + ownPrefillMilliseconds + speed.baseMilliseconds;
+	const slots = usableSlots(candidate, demand) + (demand.isLatencyCritical ? extraSlots : 0);
+	const backlogAfterMilliseconds = load.backlogMilliseconds + ownPrefillMilliseconds;
+	const waitMilliseconds = load.running >= slots ? speed.baseMilliseconds : millisecondsUntilEligible(demand, load, context);
+	const streamCost = demand.isLatencyCritical
+		? criticalStreamCost(demand, candidate, {load, position, backlogAfterMilliseconds, summary, tuning})
+		: costToRunningStreams(demand, {load, position, backlogAfterMilliseconds, ownPrefillMilliseconds, summary, tuning});
+	const fetchCost = fetch === undefined ? 0 : fetch.milliseconds + (prefillMilliseconds(speed, fetch.tokens) * tuning.fetchShare * fetchWeight);
+	const cost = load.backlogMilliseconds + (ownPrefillMilliseconds * summary.prefillWeight) + fetchCost + latenessCost(waitMilliseconds + expectedMilliseconds, demand) + streamCost
 		+ (load.running / candidate.slots * speed.baseMilliseconds);
-	return {cost, wait, prefillTokens, fetch, expected};
+	return {cost, waitMilliseconds, prefillTokens, fetch, expectedMilliseconds};
 }
 
 /**
- * Failure: an instance hears of a part of the fleet, and takes the first home of a beginning to lack what others have had read there. Symptom:
- * under load any engine looks as good as that one, and beginnings are read again everywhere.
+ * Tokens that the first preferred endpoint of a prefix is assumed to lack. An instance that receives the reports of
+ * only a part of the fleet would not know that others have had the prefix prefilled there; under load any engine would
+ * look as good as this one, and prefixes would be prefilled again everywhere.
  */
-function keptAtHome({parts}: Demand, heardTokens: number, seen: number): number {
-	const own = parts.at(-1)?.tokens ?? 0;
-	return heardTokens - (Math.max(0, heardTokens - own) * (1 - seen) * unheardReading);
+function uncachedAtPreferred({parts}: Demand, reportedTokens: number, visibleShare: number): number {
+	const unsharedTokens = parts.at(-1)?.tokens ?? 0;
+	return reportedTokens - (Math.max(0, reportedTokens - unsharedTokens) * (1 - visibleShare) * unreportedPrefillProbability);
 }
 
-/** The slots that a request may fill. */
+/** Slots of an endpoint that a request may use. */
 export function usableSlots({slots}: Candidate, {isOutranked}: Demand): number {
-	return isOutranked ? Math.max(1, Math.floor(slots * (1 - slotsLeft))) : slots;
+	return isOutranked ? Math.max(1, Math.floor(slots * (1 - reservedSlotShare))) : slots;
 }
 
-/** How long until a request may be sent there. */
-function waitFor(demand: Demand, {backlogMilliseconds, idleMilliseconds, latencyCriticalRuns}: EndpointLoad, circumstances: PlacementContext): number {
+/** Time until a request may be sent to an engine that has a slot for it. */
+function millisecondsUntilEligible(demand: Demand, {backlogMilliseconds, idleMilliseconds, latencyCriticalRuns}: EndpointLoad, context: PlacementContext): number {
 	return demand.isOutranked
-		? Math.max(0, backlogMilliseconds + (circumstances.propagationMilliseconds * outrankedReactions) - idleMilliseconds)
-		: Math.max(0, backlogMilliseconds - bearableBacklog(demand, latencyCriticalRuns, circumstances));
+		? Math.max(0, backlogMilliseconds + (context.propagationMilliseconds * outrankedPropagations) - idleMilliseconds)
+		: Math.max(0, backlogMilliseconds - maxBacklogMilliseconds(demand, latencyCriticalRuns, context));
 }
 
-function bearableBacklog({urgency, urgencies, strictestPauseMilliseconds: tightestPauseMilliseconds, isLatencyCritical}: Demand, latencyCriticalRuns: number, {propagationMilliseconds, tuning}: PlacementContext): number {
+function maxBacklogMilliseconds({urgency, urgencies, strictestPauseMilliseconds, isLatencyCritical}: Demand, latencyCriticalRuns: number, {propagationMilliseconds, tuning}: PlacementContext): number {
 	if (isLatencyCritical) {
 		return Infinity;
 	}
 
-	const leastUrgent = propagationMilliseconds * reactionsInBacklog;
-	const rank = tuning.ordersBacklogs ? rankAmong(urgency, urgencies) : 0;
-	const mostUrgent = leastUrgent * urgentFactor;
-	const own = mostUrgent * ((leastUrgent / mostUrgent) ** rank);
-	return latencyCriticalRuns === 0 ? own : Math.min(own, tightestPauseMilliseconds * besideTightShare);
+	const leastUrgentMilliseconds = propagationMilliseconds * backlogPropagations;
+	const rank = tuning.ordersBacklogs ? relativeUrgency(urgency, urgencies) : 0;
+	const mostUrgentMilliseconds = leastUrgentMilliseconds * mostUrgentFactor;
+	const ownMilliseconds = mostUrgentMilliseconds * ((leastUrgentMilliseconds / mostUrgentMilliseconds) ** rank);
+	return latencyCriticalRuns === 0 ? ownMilliseconds : Math.min(ownMilliseconds, strictestPauseMilliseconds * besideCriticalPauseShare);
 }
 
-/** 0 for the most urgent, 1 for the least. */
-function rankAmong(urgency: number, {most, least}: Demand['urgencies']): number {
+/** Position in the range of urgencies: 0 for the most urgent, 1 for the least urgent. */
+function relativeUrgency(urgency: number, {most, least}: Demand['urgencies']): number {
 	return least === most ? 1 : Math.min(1, Math.max(0, (urgency - most) / (least - most)));
 }
 
-type Harm = {readonly load: EndpointLoad; readonly place: number; readonly span: number; readonly overview: Overview; readonly tuning: PlacementContext['tuning']};
+type StreamCostInput = {
+	readonly load: EndpointLoad;
+	readonly position: number;
+	/** Backlog of the engine if the request is sent there. */
+	readonly backlogAfterMilliseconds: number;
+	readonly summary: CandidateSummary;
+	readonly tuning: PlacementContext['tuning'];
+};
 
-function tightCost(demand: Demand, candidate: Candidate, {load, place, span, overview, tuning}: Harm): number {
-	const pause = (demand.maxPauseMilliseconds ?? Infinity) * pauseShare;
-	const crowded = load.running >= candidate.slots * crowdedFill ? demand.targetMilliseconds : 0;
-	const outside = place >= Math.max(1, overview.spread) ? tuning.outsideMilliseconds : 0;
-	return (orderOf(place, overview) * orderMilliseconds) + (load.readingShare * readingShareMilliseconds) + crowded + outside + (Math.max(0, span - pause) * brokenPauseWeight);
+function criticalStreamCost(demand: Demand, candidate: Candidate, {load, position, backlogAfterMilliseconds, summary, tuning}: StreamCostInput): number {
+	const safePauseMilliseconds = (demand.maxPauseMilliseconds ?? Infinity) * safePauseShare;
+	const crowdedCost = load.running >= candidate.slots * crowdedSlotShare ? demand.targetMilliseconds : 0;
+	const outsideCost = position >= Math.max(1, summary.startRange) ? tuning.outsideMilliseconds : 0;
+	return (effectivePosition(position, summary) * fillPositionMilliseconds) + (load.prefillTimeShare * prefillTimeShareMilliseconds)
+		+ crowdedCost + outsideCost + (Math.max(0, backlogAfterMilliseconds - safePauseMilliseconds) * exceededPauseWeight);
 }
 
 /**
- * Failure: many instances, each of which knows of few tight streams, fill the same first engine at one moment. Symptom: it has a line while
- * the next ones idle, and tight streams are late from their first event. The less an instance knows, the more a draw decides where it begins.
+ * Position in the fill order, mixed with a random starting position that counts the more, the less of the fleet is
+ * visible. Without it, many instances that each know of few latency-critical streams fill the same first engine at one
+ * moment; streams queue there while the next engines idle, and are late from their first event.
  */
-function orderOf(place: number, {spread, seen, shift}: Overview): number {
-	return seen === 1 || place >= spread ? place : (place * (seen ** 2)) + (((place + shift) % spread) * (1 - (seen ** 2)));
+function effectivePosition(position: number, {startRange, visibleShare, startOffset}: CandidateSummary): number {
+	return visibleShare === 1 || position >= startRange ? position : (position * (visibleShare ** 2)) + (((position + startOffset) % startRange) * (1 - (visibleShare ** 2)));
 }
 
-/** What a reading does to the streams that run there: all of it delays them a little, a long one breaks their pauses. */
-function harmToOthers({strictestPauseMilliseconds: tightestPauseMilliseconds}: Demand, {load, place, span, reading, overview, tuning}: Harm & {reading: number}): number {
-	const delays = Math.min(load.latencyCriticalRuns, tightCounted) * reading * tightWeight;
-	const takesRoom = place < overview.takenByTight && span > tightestPauseMilliseconds * besideTightShare;
-	return delays + (takesRoom ? tuning.roomMilliseconds : 0);
+/**
+ * Cost of a prefill to the streams that run on the engine: each one delays them a little, a long one exceeds their
+ * pause limit.
+ */
+function costToRunningStreams({strictestPauseMilliseconds}: Demand, {load, position, backlogAfterMilliseconds, ownPrefillMilliseconds, summary, tuning}: StreamCostInput & {
+	ownPrefillMilliseconds: number;
+}): number {
+	const delayCost = Math.min(load.latencyCriticalRuns, maxCountedCriticalRuns) * ownPrefillMilliseconds * criticalDelayWeight;
+	const usesReservedEngine = position < summary.reservedCount && backlogAfterMilliseconds > strictestPauseMilliseconds * besideCriticalPauseShare;
+	return delayCost + (usesReservedEngine ? tuning.roomMilliseconds : 0);
 }
 
-function lateness(expected: number, {targetMilliseconds, elapsedMilliseconds}: Demand): number {
-	return Math.max(0, elapsedMilliseconds + expected - (targetMilliseconds * latenessShare)) * latenessWeight;
+function latenessCost(expected: number, {targetMilliseconds, elapsedMilliseconds}: Demand): number {
+	return Math.max(0, elapsedMilliseconds + expected - (targetMilliseconds * latenessTargetShare)) * latenessWeight;
 }
--- a/src/policy/dispatch/forecast.ts
+++ b/src/policy/dispatch/forecast.ts
@@ -1,54 +1,60 @@
 /**
- * Load pattern: demand above what the endpoints can do. Who waits until its time is over has waited in vain, and all come
- * back together. Whether a request can still be started in time is judged as soon as it comes: by those ahead of it, at the rate at which
- * this instance has placed work lately, or at its equal part of what the endpoints can do, whichever is more.
+ * Predicts how long a request will wait in the queue. Load pattern: demand above what the endpoints can do. A request
+ * that waits until its time is over has waited in vain, and all such callers come back together. So a request is
+ * checked as soon as it arrives for whether it can still start in time: by the work queued ahead of it, at the rate at
+ * which this instance has recently placed work, or at its equal share of what the endpoints can do, whichever is more.
  */
 import {type Candidate} from './demand.js';
 
-/** A refused caller comes back no sooner, and no later: callers honour a third of the time they have. */
+/**
+ * Bounds of the time after which a refused caller is told to come back: callers honour a third of the time they have.
+ */
 const retryAfterBounds = {low: 150, high: 2000};
-/** Part of a wait by which callers that are refused together come back apart, either way. */
-const retrySpread = 0.25;
-/** Until anything was placed: the part of their prompts that engines still have to read. */
-const firstUnreadShare = 0.6;
-/** Weight of one more placing in that part: the last fifty count. */
-const unreadShareWeight = 0.02;
+/** Jitter as a share of the wait, in both directions, so that callers refused together come back apart. */
+const retryJitterShare = 0.25;
+/** Share of prompt tokens that engines are assumed to prefill until anything was placed. */
+const initialPrefillShare = 0.6;
+/** Weight of one placement in that share: about the last fifty count. */
+const prefillShareWeight = 0.02;
 
-/** Those of a service that come before one. */
-export type Ahead = {readonly count: number; readonly work: number};
+/** Requests of a service that are queued ahead of one, and their work. */
+export type QueuedAhead = {readonly count: number; readonly work: number};
 
-/** What a service's endpoints and this instance can do. */
+/** What the endpoints of a service and this instance can do. */
 export type Capacity = {
 	readonly candidates: readonly Candidate[];
 	/** Instances that share the endpoints. */
 	readonly instances: number;
 	readonly tokensPerMillisecond: number;
-	/** The part of their prompts that engines still have to read. */
+	/** Share of prompt tokens that engines have to prefill, since they are not cached. */
 	readonly prefillShare: number;
-	/** Work that this instance has placed lately, for each millisecond. */
+	/** Work that this instance has recently placed, per millisecond. */
 	readonly startedWorkRate: number;
-	/** How long a plain service works on a request. */
+	/** Service time of a request at a plain service. */
 	readonly serviceTimeMilliseconds: number;
 };
 
-/** How long those ahead will take to have their places. Before anything waited the own rate says nothing. */
-export function expectedQueueMilliseconds({count, work}: Ahead, {candidates, instances, tokensPerMillisecond, prefillShare: unreadShare, startedWorkRate, serviceTimeMilliseconds: workMilliseconds}: Capacity): number {
+/**
+ * Expected time until the requests ahead are placed. Before any request had to wait, the instance's own rate reflects
+ * demand, not capacity; the equal share is therefore the lower limit.
+ */
+export function expectedQueueMilliseconds({count, work}: QueuedAhead, {candidates, instances, tokensPerMillisecond, prefillShare, startedWorkRate, serviceTimeMilliseconds}: Capacity): number {
 	if (candidates[0]?.isEngine === true) {
-		const equalPart = tokensPerMillisecond / unreadShare * candidates.length / instances;
-		return work / Math.max(equalPart, startedWorkRate);
+		const equalShareRate = tokensPerMillisecond / prefillShare * candidates.length / instances;
+		return work / Math.max(equalShareRate, startedWorkRate);
 	}
 
 	const slots = candidates.reduce((sum, candidate) => sum + candidate.slots, 0);
-	return count * workMilliseconds / slots * instances;
+	return count * serviceTimeMilliseconds / slots * instances;
 }
 
-/** When a refused caller is to come back, for a draw from 0 to 1. */
+/** Time after which a refused caller should come back, with jitter from `draw`, a random number from 0 to 1. */
 export function retryAfter(milliseconds: number, draw: number): number {
-	const spread = milliseconds * (1 - retrySpread + (2 * retrySpread * draw));
-	return Math.min(retryAfterBounds.high, Math.max(retryAfterBounds.low, spread));
+	const jittered = milliseconds * (1 - retryJitterShare + (2 * retryJitterShare * draw));
+	return Math.min(retryAfterBounds.high, Math.max(retryAfterBounds.low, jittered));
 }
 
-/** The part of their prompts that a service's engines had to read, of the last ones placed. */
+/** Share of prompt tokens that the engines of each service had to prefill, averaged over recent placements. */
 export class PrefillShares {
 	static create(): PrefillShares {
 		return new PrefillShares();
@@ -57,11 +63,11 @@
 	readonly #shares = new Map<string, number>();
 
 	of(service: string): number {
-		return this.#shares.get(service) ?? firstUnreadShare;
+		return this.#shares.get(service) ?? initialPrefillShare;
 	}
 
 	record(service: string, share: number): void {
 		const before = this.of(service);
-		this.#shares.set(service, before + ((share - before) * unreadShareWeight));
+		this.#shares.set(service, before + ((share - before) * prefillShareWeight));
 	}
 }
--- a/src/policy/dispatch/index.ts
+++ b/src/policy/dispatch/index.ts
@@ -1,4 +1,4 @@
-/** Whom to send where, who waits, who is refused: decisions for opaque requests, without I/O. */
+/** Placement, queueing and refusal of opaque requests: decisions without I/O. */
 export * from './tuning.js';
 export type * from './demand.js';
 export * from './load.js';
--- a/src/policy/dispatch/load-rows.ts
+++ b/src/policy/dispatch/load-rows.ts
@@ -2,43 +2,46 @@
 import {flattenParts, unflattenParts} from './prefix-cache.js';
 import {type UrgencyCount} from './peer-queues.js';
 
-/** Longer names than this come from nobody that keeps the protocol. */
-const longestName = 256;
-const mostParts = 64;
+/** Longer names are rejected: no instance that follows the protocol sends them. */
+const maxNameLength = 256;
+const maxParts = 64;
 
 /**
- * Load that came within this time leaves in one message: the shorter, the fewer instances send a prompt
- * to the same endpoint; the longer, the fewer messages. Each peer costs two milliseconds of it, so that an
- * instance sends and reads no more than about 500 messages a second, some 2% of a core.
+ * Load events within this interval are sent in one message. The shorter it is, the fewer instances send a prompt to the
+ * same endpoint at once; the longer, the fewer messages are sent. Each peer adds two milliseconds, so that an instance
+ * sends and receives no more than about 500 messages a second, some 2% of a core.
  */
-const batchMilliseconds = {least: 15, eachPeer: 2, most: 60};
-/** A message's own way: coding, a millisecond or two between availability zones, and the turn of the event loop. */
-const wayMilliseconds = 5;
+const batchBounds = {least: 15, perPeer: 2, most: 60};
+/** Transit time of a message: coding, a millisecond or two between availability zones, and a turn of the event loop. */
+const transitMilliseconds = 5;
 
-/** How long load is collected before it goes to so many peers. */
+/** Time for which load events are collected before they are sent to this many peers. */
 export function batchIntervalMilliseconds(peers: number): number {
-	return Math.min(batchMilliseconds.most, Math.max(batchMilliseconds.least, peers * batchMilliseconds.eachPeer));
+	return Math.min(batchBounds.most, Math.max(batchBounds.least, peers * batchBounds.perPeer));
 }
 
-/** Until one instance hears what another has placed, at the longest. */
+/** Propagation delay: the longest time until one instance receives the report of what another has placed. */
 export function propagationMilliseconds(peers: number): number {
-	return batchIntervalMilliseconds(peers) + wayMilliseconds;
+	return batchIntervalMilliseconds(peers) + transitMilliseconds;
 }
 
 const RowKind = {placed: 0, firstEvent: 1, ended: 2, waiting: 3} as const;
-/** Values of one urgency in a row, and of all. */
-const urgencyLength = 3;
-const mostUrgencyValues = 16 * urgencyLength;
+/** Number of values for one urgency in a row, and the limit for all of them. */
+const valuesPerUrgency = 3;
+const maxUrgencyValues = 16 * valuesPerUrgency;
 
 /**
- * Load as it travels between instances: rows without names, since it is by far the most frequent message
- * and goes to each of them. A row names a run by its number at the sender; its owner is whoever sent it.
- * `[0, number, endpoint, service, unread tokens, 1 if tight, part, tokens, ...]`, `[1, number]`, `[2, number]`, and `[3, service, workspace's urgency or null, route's urgency,
- * how many, ...]`.
+ * Load as instances exchange it: rows without field names, since it is by far the most frequent message and goes to each
+ * instance. A row names a run by its number at the sender, which is the owner of the run.
+ *
+ * - placed: `[0, number, endpoint, service, prefill tokens, 1 if latency-critical, part, tokens, ...]`
+ * - first event: `[1, number]`
+ * - ended: `[2, number]`
+ * - waiting: `[3, service, workspace's urgency or null, route's urgency, count, ...]`
  */
 export type LoadRow = readonly unknown[];
 
-/** Rows of this instance's own events; others' are not passed on. */
+/** Rows of this instance's own events; events of other instances are not passed on. */
 export function encodeLoad(events: readonly LoadEvent[]): LoadRow[] {
 	return events.map(event => encodeEvent(event)).filter(row => row !== undefined);
 }
@@ -70,7 +73,9 @@
 	}
 }
 
-/** The events of a peer, or `undefined` if a row is none. Checked by hand: schemas cost several times as much. */
+/**
+ * Events of a peer, or `undefined` if a row is malformed. Checked by hand, since schemas cost several times as much.
+ */
 export function decodeLoad(rows: readonly unknown[], owner: string): LoadEvent[] | undefined {
 	const events: LoadEvent[] = [];
 	for (const row of rows) {
@@ -116,23 +121,23 @@
 }
 
 function decodePlaced(row: readonly unknown[], {id, owner}: {id: string; owner: string}): LoadEvent | undefined {
-	const [endpoint, service, prefillTokens, tight, ...partValues] = row.slice(2);
-	if (!isName(endpoint) || !isName(service) || !isCount(prefillTokens) || partValues.length % 2 !== 0 || partValues.length > mostParts * 2 || !partValues.every(value => isCount(value))) {
+	const [endpoint, service, prefillTokens, criticalFlag, ...partValues] = row.slice(2);
+	if (!isName(endpoint) || !isName(service) || !isCount(prefillTokens) || partValues.length % 2 !== 0 || partValues.length > maxParts * 2 || !partValues.every(value => isCount(value))) {
 		return undefined;
 	}
 
-	return {type: 'placed', run: {id, owner, endpoint, service, prefillTokens, isLatencyCritical: tight === 1, parts: unflattenParts(partValues)}};
+	return {type: 'placed', run: {id, owner, endpoint, service, prefillTokens, isLatencyCritical: criticalFlag === 1, parts: unflattenParts(partValues)}};
 }
 
 function decodeWaiting(row: readonly unknown[], owner: string): LoadEvent | undefined {
 	const [service, ...values] = row.slice(1);
-	if (!isName(service) || values.length % urgencyLength !== 0 || values.length > mostUrgencyValues) {
+	if (!isName(service) || values.length % valuesPerUrgency !== 0 || values.length > maxUrgencyValues) {
 		return undefined;
 	}
 
 	const urgencies: UrgencyCount[] = [];
-	for (let index = 0; index < values.length; index += urgencyLength) {
-		const [workspace, route, count] = values.slice(index, index + urgencyLength);
+	for (let index = 0; index < values.length; index += valuesPerUrgency) {
+		const [workspace, route, count] = values.slice(index, index + valuesPerUrgency);
 		if ((workspace !== null && !isNumber(workspace)) || !isNumber(route) || !isCount(count)) {
 			return undefined;
 		}
@@ -143,7 +148,7 @@
 	return {type: 'waiting', owner, service, urgencies};
 }
 
-/** The name of a run, unique over all instances. */
+/** Id of a run, unique across instances. */
 export function runId(owner: string, number: number): string {
 	return `${owner}/${number}`;
 }
@@ -153,7 +158,7 @@
 }
 
 function isName(value: unknown): value is string {
-	return typeof value === 'string' && value.length > 0 && value.length <= longestName;
+	return typeof value === 'string' && value.length > 0 && value.length <= maxNameLength;
 }
 
 function isCount(value: unknown): value is number {
--- a/src/policy/dispatch/load.ts
+++ b/src/policy/dispatch/load.ts
@@ -1,112 +1,117 @@
-import {type PromptPart, PartMemory, tokensOf} from './prefix-cache.js';
+import {type PromptPart, PrefixCache, tokensOf} from './prefix-cache.js';
 import {type QueueReport, PeerQueues} from './peer-queues.js';
-import {createReadingSpeed, learnReadingSpeed, type ReadingSpeed, prefillMilliseconds} from './speed.js';
+import {createPrefillSpeed, learnPrefillSpeed, type PrefillSpeed, prefillMilliseconds} from './speed.js';
 
-/** A request that an endpoint runs or is about to, whichever instance sent it. */
+/** A request that an endpoint runs or is about to run, whichever instance sent it. */
 export type Run = {
-	/** Unique over all instances. */
+	/** Unique across instances. */
 	readonly id: string;
 	readonly owner: string;
 	readonly endpoint: string;
 	readonly service: string;
 	readonly prefillTokens: number;
-	/** True if its pauses are the tightest of its service. */
+	/** True if the pause limit of its route is the strictest of the service. */
 	readonly isLatencyCritical: boolean;
 	readonly parts: readonly PromptPart[];
 };
 
-/** What became of runs. */
+/** Events that change the tracked load. */
 export type LoadEvent
 	= | {readonly type: 'placed'; readonly run: Run}
 		| {readonly type: 'first-event'; readonly id: string}
 		| {readonly type: 'ended'; readonly id: string}
 		| {readonly type: 'owner-lost'; readonly owner: string}
 		| {readonly type: 'endpoint-restarted'; readonly endpoint: string}
-	/** What waits at another instance. */
+	/** Requests that wait at another instance. */
 		| QueueReport
-	/** What an endpoint itself says it holds of prompts. */
+	/** Prompt parts that the endpoint itself reports as cached. */
 		| {readonly type: 'kept'; readonly endpoint: string; readonly parts: readonly PromptPart[]};
 
-type Held = Run & {
+type TrackedRun = Run & {
 	readonly placedAt: number;
-	isRead: boolean;
+	isPrefilled: boolean;
 };
 
-/** The load of one endpoint as placement sees it. */
+/** Load of one endpoint as placement uses it. */
 export type EndpointLoad = {
 	readonly running: number;
 	readonly latencyCriticalRuns: number;
-	/** Until what is to be read there has been read, from now, in milliseconds. */
+	/** Time from now until the pending prefill of the endpoint is done. */
 	readonly backlogMilliseconds: number;
-	/** For how long it has had nothing to read; zero while it has. */
+	/** Time for which the endpoint has had no pending prefill; zero while it has some. */
 	readonly idleMilliseconds: number;
-	/** The part of recent time that it spent reading, 0 to 1. */
-	readonly readingShare: number;
+	/** Share of recent time that the endpoint spent on prefill, 0 to 1. */
+	readonly prefillTimeShare: number;
 };
 
-/** A run whose end was never told is dropped after so long: no answer lasts longer than its time limit. */
-const forgottenMilliseconds = 120_000;
-/** Reading share is averaged over about the length of a tight stream. */
-const shareMilliseconds = 1500;
-/** A plain service's work time before any was seen, and the weight of one more. */
-const firstWorkMilliseconds = 20;
-const workWeight = 0.05;
-
-/** A span that is not over yet; one in which a run ended unread tells nothing. */
-type Span = {readonly at: number; readonly isFromRest: boolean; readTokens: number; readRuns: number; isSpoilt: boolean};
-
-/** A span under load has no end of its own: it is taken as a sample after so many prompts, and goes on as the next. */
-const longestSpanRuns = 8;
-
-type Desk = {
-	readonly runs: Map<string, Held>;
-	/** Those without a first event, oldest first: what the engine still has to read. */
-	readonly unread: Map<string, Held>;
-	prefillTokens: number;
-	/** When the oldest of them came to its turn, as far as is known. */
-	turnAt: number;
-	/** When word came that nothing is unread any more. */
-	idleAt: number;
-	/** Since when it has always had something to read, and what it has read since. */
-	span: Span;
-	readonly parts: PartMemory;
+/** A run whose end was never reported is dropped after this time: no response lasts longer than its time limit. */
+const runTimeoutMilliseconds = 120_000;
+/** The prefill time share is averaged over about the duration of a latency-critical stream. */
+const timeShareWindowMilliseconds = 1500;
+/** Service time of a plain service before the first sample, and the weight of one new sample. */
+const initialServiceTimeMilliseconds = 20;
+const serviceTimeWeight = 0.05;
+
+/**
+ * A span of continuous prefill that is not over yet; invalid as a sample if a run ended in it before its first event.
+ */
+type OpenSpan = {readonly startedAt: number; readonly isFromIdle: boolean; prefilledTokens: number; prefilledRuns: number; isInvalid: boolean};
+
+/**
+ * Under load a span has no end of its own: it is taken as a sample after this many prompts, and the next one begins.
+ */
+const maxSpanRuns = 8;
+
+type EndpointState = {
+	readonly runs: Map<string, TrackedRun>;
+	/** Runs without a first event, oldest first: the prefill that the engine still has to do. */
+	readonly pending: Map<string, TrackedRun>;
+	pendingTokens: number;
+	/** When prefill of the oldest pending run began, as far as is known. */
+	prefillStartedAt: number;
+	/** When the last run left `pending`; the endpoint is idle since then if none is pending. */
+	idleSince: number;
+	/** The current span of continuous prefill, and what was prefilled in it. */
+	span: OpenSpan;
+	readonly cache: PrefixCache;
 	service: string;
-	share: number;
-	shareAt: number;
+	timeShare: number;
+	timeShareAt: number;
 	latencyCriticalRuns: number;
 };
 
 /**
- * Load pattern: several instances send to the same endpoints, and a worker's own report is old when
- * it arrives. Each instance tells the others of what it placed and what ended, so that all predict
- * from the same runs. Without that, a burst through four instances meets on the same idle endpoint.
+ * Tracks the load of endpoints: own runs and those that other instances report. Load pattern: several instances send to
+ * the same endpoints, and a load report of the endpoint itself is old when it arrives. Each instance reports to the
+ * others what it placed and what ended, so that all predict from the same runs. Without that, a burst through four
+ * instances goes to the same idle endpoint.
  */
 export class LoadTracker {
 	static create(): LoadTracker {
 		return new LoadTracker();
 	}
 
-	/** What waits at the other instances. */
+	/** Queues of the other instances. */
 	readonly peerQueues = PeerQueues.create();
-	readonly #desks = new Map<string, Desk>();
-	readonly #runs = new Map<string, Held>();
-	readonly #speeds = new Map<string, ReadingSpeed>();
-	readonly #work = new Map<string, number>();
+	readonly #endpoints = new Map<string, EndpointState>();
+	readonly #runs = new Map<string, TrackedRun>();
+	readonly #speeds = new Map<string, PrefillSpeed>();
+	readonly #serviceTimes = new Map<string, number>();
 
 	step(event: LoadEvent, now: number): void {
 		switch (event.type) {
 			case 'placed': {
-				this.#place(event.run, now);
+				this.#recordPlaced(event.run, now);
 				return;
 			}
 
 			case 'first-event': {
-				this.#firstEvent(event.id, now);
+				this.#recordFirstEvent(event.id, now);
 				return;
 			}
 
 			case 'ended': {
-				this.#end(event.id, now);
+				this.#recordEnded(event.id, now);
 				return;
 			}
 
@@ -123,173 +128,180 @@
 
 			case 'endpoint-restarted': {
 				this.#drop(run => run.endpoint === event.endpoint, now);
-				this.#desks.delete(event.endpoint);
+				this.#endpoints.delete(event.endpoint);
 				return;
 			}
 
 			case 'kept': {
-				this.#desk(event.endpoint).parts.replace(event.parts);
+				this.#endpoint(event.endpoint).cache.replace(event.parts);
 			}
 		}
 	}
 
 	load(endpoint: string, now: number): EndpointLoad {
-		const desk = this.#desks.get(endpoint);
-		if (desk === undefined) {
-			return {running: 0, latencyCriticalRuns: 0, backlogMilliseconds: 0, idleMilliseconds: Infinity, readingShare: 0};
+		const state = this.#endpoints.get(endpoint);
+		if (state === undefined) {
+			return {running: 0, latencyCriticalRuns: 0, backlogMilliseconds: 0, idleMilliseconds: Infinity, prefillTimeShare: 0};
 		}
 
 		return {
-			running: desk.runs.size,
-			latencyCriticalRuns: desk.latencyCriticalRuns,
-			backlogMilliseconds: this.#backlog(desk, now),
-			idleMilliseconds: desk.unread.size > 0 ? 0 : now - desk.idleAt,
-			readingShare: decayed(desk, now),
+			running: state.runs.size,
+			latencyCriticalRuns: state.latencyCriticalRuns,
+			backlogMilliseconds: this.#backlogMilliseconds(state, now),
+			idleMilliseconds: state.pending.size > 0 ? 0 : now - state.idleSince,
+			prefillTimeShare: decayedTimeShare(state, now),
 		};
 	}
 
-	unread(endpoint: string, parts: readonly PromptPart[]): number {
-		return this.#desks.get(endpoint)?.parts.unread(parts) ?? tokensOf(parts);
+	/** Tokens of a prompt that the endpoint would have to prefill. */
+	uncachedTokens(endpoint: string, parts: readonly PromptPart[]): number {
+		return this.#endpoints.get(endpoint)?.cache.uncachedTokens(parts) ?? tokensOf(parts);
 	}
 
-	/** What one engine could not give another of a prompt, since it has not read it yet. */
-	missing(endpoint: string, parts: readonly PromptPart[]): number {
-		return this.#desks.get(endpoint)?.parts.missing(parts) ?? tokensOf(parts);
+	/** Tokens of a prompt that others can't fetch from this endpoint, since it has not prefilled them yet. */
+	unavailableTokens(endpoint: string, parts: readonly PromptPart[]): number {
+		return this.#endpoints.get(endpoint)?.cache.unavailableTokens(parts) ?? tokensOf(parts);
 	}
 
-	speed(service: string): ReadingSpeed {
-		const held = this.#speeds.get(service) ?? createReadingSpeed();
+	speed(service: string): PrefillSpeed {
+		const held = this.#speeds.get(service) ?? createPrefillSpeed();
 		this.#speeds.set(service, held);
 		return held;
 	}
 
-	/** How long a plain service works on a request. */
+	/** Average service time of a request at a plain service. */
 	serviceTimeMilliseconds(service: string): number {
-		return this.#work.get(service) ?? firstWorkMilliseconds;
+		return this.#serviceTimes.get(service) ?? initialServiceTimeMilliseconds;
 	}
 
 	recordServiceTime(service: string, milliseconds: number): void {
-		this.#work.set(service, this.serviceTimeMilliseconds(service) + ((milliseconds - this.serviceTimeMilliseconds(service)) * workWeight));
+		this.#serviceTimes.set(service, this.serviceTimeMilliseconds(service) + ((milliseconds - this.serviceTimeMilliseconds(service)) * serviceTimeWeight));
 	}
 
-	/** Drops runs of which nobody has told for longer than any answer lasts. */
+	/** Drops runs without a report of their end for longer than any response lasts. */
 	prune(now: number): void {
-		this.#drop(run => now - run.placedAt > forgottenMilliseconds, now);
+		this.#drop(run => now - run.placedAt > runTimeoutMilliseconds, now);
 	}
 
-	/** Says how much memory an endpoint's engine has. */
+	/** Sets the cache memory of an endpoint's engine. */
 	setCacheCapacity(endpoint: string, memoryTokens: number): void {
-		this.#desk(endpoint).parts.setMemory(memoryTokens);
+		this.#endpoint(endpoint).cache.setCapacity(memoryTokens);
 	}
 
 	/**
-	 * Failure: another instance tells of a run, or of what an engine keeps, before this one knew of its memory. Symptom:
-	 * the engine is taken to keep nothing for good. It is taken to keep all of it until its memory is known.
+	 * The state of an endpoint; a new one has an unlimited cache until its memory is known. Another instance may report
+	 * a run, or what an engine has cached, before this one knows the memory of the engine. Without the unlimited cache,
+	 * the engine would from then on be taken to cache nothing.
 	 */
-	#desk(endpoint: string): Desk {
-		const desk = this.#desks.get(endpoint) ?? createDesk();
-		this.#desks.set(endpoint, desk);
-		return desk;
+	#endpoint(endpoint: string): EndpointState {
+		const state = this.#endpoints.get(endpoint) ?? createEndpointState();
+		this.#endpoints.set(endpoint, state);
+		return state;
 	}
 
-	#place(run: Run, now: number): void {
+	#recordPlaced(run: Run, now: number): void {
 		if (this.#runs.has(run.id)) {
-			// Told twice, over two connections of one pair.
+			// Reported twice, over two connections of one pair of instances.
 			return;
 		}
 
-		const desk = this.#desk(run.endpoint);
+		const state = this.#endpoint(run.endpoint);
 		const speed = this.speed(run.service);
-		const reading = prefillMilliseconds(speed, run.prefillTokens);
-		if (desk.unread.size === 0) {
-			desk.turnAt = now;
-			desk.span = createSpan(now, true);
+		const ownPrefillMilliseconds = prefillMilliseconds(speed, run.prefillTokens);
+		if (state.pending.size === 0) {
+			state.prefillStartedAt = now;
+			state.span = createSpan(now, true);
 		}
 
-		desk.service = run.service;
-		desk.share = decayed(desk, now) + (reading / shareMilliseconds);
-		desk.shareAt = now;
-		desk.latencyCriticalRuns += run.isLatencyCritical ? 1 : 0;
-		desk.parts.use(run.parts);
-		const held = {...run, placedAt: now, isRead: false};
-		desk.runs.set(run.id, held);
-		desk.unread.set(run.id, held);
-		desk.prefillTokens += run.prefillTokens;
-		this.#runs.set(run.id, held);
+		state.service = run.service;
+		state.timeShare = decayedTimeShare(state, now) + (ownPrefillMilliseconds / timeShareWindowMilliseconds);
+		state.timeShareAt = now;
+		state.latencyCriticalRuns += run.isLatencyCritical ? 1 : 0;
+		state.cache.use(run.parts);
+		const tracked = {...run, placedAt: now, isPrefilled: false};
+		state.runs.set(run.id, tracked);
+		state.pending.set(run.id, tracked);
+		state.pendingTokens += run.prefillTokens;
+		this.#runs.set(run.id, tracked);
 	}
 
-	#firstEvent(id: string, now: number): void {
+	#recordFirstEvent(id: string, now: number): void {
 		const run = this.#runs.get(id);
-		const desk = run === undefined ? undefined : this.#desks.get(run.endpoint);
-		if (run === undefined || desk === undefined || run.isRead) {
+		const state = run === undefined ? undefined : this.#endpoints.get(run.endpoint);
+		if (run === undefined || state === undefined || run.isPrefilled) {
 			return;
 		}
 
-		noteRead(desk, run, {now, readAt: now - this.speed(run.service).baseMilliseconds});
-		desk.parts.noteRead(run.parts);
-		desk.span.readTokens += run.prefillTokens;
-		desk.span.readRuns += 1;
-		if (desk.unread.size > 0 && desk.span.readRuns < longestSpanRuns) {
+		finishPrefill(state, run, {now, prefilledAt: now - this.speed(run.service).baseMilliseconds});
+		state.cache.markPrefilled(run.parts);
+		state.span.prefilledTokens += run.prefillTokens;
+		state.span.prefilledRuns += 1;
+		if (state.pending.size > 0 && state.span.prefilledRuns < maxSpanRuns) {
 			return;
 		}
 
-		const {at, isFromRest, readTokens, isSpoilt} = desk.span;
-		if (!isSpoilt) {
-			this.#speeds.set(run.service, learnReadingSpeed(this.speed(run.service), {tokens: readTokens, milliseconds: now - at, isFromRest}));
+		const {startedAt, isFromIdle, prefilledTokens, isInvalid} = state.span;
+		if (!isInvalid) {
+			this.#speeds.set(run.service, learnPrefillSpeed(this.speed(run.service), {tokens: prefilledTokens, milliseconds: now - startedAt, isFromIdle}));
 		}
 
-		desk.span = createSpan(now, false);
+		state.span = createSpan(now, false);
 	}
 
-	#end(id: string, now: number): void {
+	#recordEnded(id: string, now: number): void {
 		const run = this.#runs.get(id);
-		const desk = run === undefined ? undefined : this.#desks.get(run.endpoint);
-		if (run === undefined || desk === undefined) {
+		const state = run === undefined ? undefined : this.#endpoints.get(run.endpoint);
+		if (run === undefined || state === undefined) {
 			return;
 		}
 
 		this.#runs.delete(id);
-		desk.runs.delete(id);
-		desk.latencyCriticalRuns -= run.isLatencyCritical ? 1 : 0;
-		if (!run.isRead) {
-			noteRead(desk, run, {now, readAt: now});
-			desk.span.isSpoilt = true;
+		state.runs.delete(id);
+		state.latencyCriticalRuns -= run.isLatencyCritical ? 1 : 0;
+		if (!run.isPrefilled) {
+			finishPrefill(state, run, {now, prefilledAt: now});
+			state.span.isInvalid = true;
 		}
 	}
 
 	/**
-	 * What waits to be read, less what the engine has read of it by now. Failure: a prompt counts as unread until its first event is here,
-	 * though the engine has gone on to the next. Symptom: it is taken for busy for as long as a first event is on its way, and stands
-	 * idle between two prompts while requests wait.
+	 * Pending prefill, less what the engine has done of it by now. A prompt stays pending until its first event is
+	 * here, though the engine has gone on to the next by then. If all of it still counted, the engine would be taken
+	 * for busy for as long as a first event is in transit, and would idle between two prompts while requests wait.
 	 */
-	#backlog(desk: Desk, now: number): number {
-		return desk.unread.size === 0 ? 0 : Math.max(0, prefillMilliseconds(this.speed(desk.service), desk.prefillTokens) - (now - desk.turnAt));
+	#backlogMilliseconds(state: EndpointState, now: number): number {
+		return state.pending.size === 0 ? 0 : Math.max(0, prefillMilliseconds(this.speed(state.service), state.pendingTokens) - (now - state.prefillStartedAt));
 	}
 
-	#drop(isDropped: (run: Held) => boolean, now: number): void {
+	#drop(isDropped: (run: TrackedRun) => boolean, now: number): void {
 		for (const run of [...this.#runs.values()].filter(candidate => isDropped(candidate))) {
-			this.#end(run.id, now);
+			this.#recordEnded(run.id, now);
 		}
 	}
 }
 
-function createDesk(): Desk {
-	return {runs: new Map(), unread: new Map(), prefillTokens: 0, turnAt: 0, idleAt: 0, span: createSpan(0, true), parts: PartMemory.create(Infinity), service: '', share: 0, shareAt: 0, latencyCriticalRuns: 0};
+function createEndpointState(): EndpointState {
+	return {
+		runs: new Map(), pending: new Map(), pendingTokens: 0, prefillStartedAt: 0, idleSince: 0, span: createSpan(0, true), cache: PrefixCache.create(Infinity),
+		service: '', timeShare: 0, timeShareAt: 0, latencyCriticalRuns: 0,
+	};
 }
 
-function createSpan(at: number, isFromRest: boolean): Span {
-	return {at, isFromRest, readTokens: 0, readRuns: 0, isSpoilt: false};
+function createSpan(startedAt: number, isFromIdle: boolean): OpenSpan {
+	return {startedAt, isFromIdle, prefilledTokens: 0, prefilledRuns: 0, isInvalid: false};
 }
 
-/** A run's prompt is read, or the run is over: the next one's turn began as soon as it was. */
-function noteRead(desk: Desk, run: Held, {now, readAt}: {now: number; readAt: number}): void {
-	run.isRead = true;
-	desk.unread.delete(run.id);
-	desk.prefillTokens -= run.prefillTokens;
-	desk.turnAt = Math.max(desk.turnAt, readAt);
-	desk.idleAt = now;
+/**
+ * Notes that the prompt of a run is prefilled, or that the run is over: prefill of the next run began at that moment.
+ */
+function finishPrefill(state: EndpointState, run: TrackedRun, {now, prefilledAt}: {now: number; prefilledAt: number}): void {
+	run.isPrefilled = true;
+	state.pending.delete(run.id);
+	state.pendingTokens -= run.prefillTokens;
+	state.prefillStartedAt = Math.max(state.prefillStartedAt, prefilledAt);
+	state.idleSince = now;
 }
 
-function decayed({share, shareAt}: Desk, now: number): number {
-	return share * Math.exp(-(now - shareAt) / shareMilliseconds);
+function decayedTimeShare({timeShare, timeShareAt}: EndpointState, now: number): number {
+	return timeShare * Math.exp(-(now - timeShareAt) / timeShareWindowMilliseconds);
 }
--- a/src/policy/dispatch/peer-queues.ts
+++ b/src/policy/dispatch/peer-queues.ts
@@ -1,63 +1,71 @@
 /**
- * Load pattern: demand above what the endpoints can do, and each of many instances has a line of its own. A balancer
- * spreads callers unevenly: where few come, drafts find the place that confirmations wait for elsewhere, and those are refused.
+ * Load pattern: demand above what the endpoints can do, and each of many instances has a queue of its own. A balancer
+ * spreads callers unevenly: where few requests arrive, drafts take the places that confirmations wait for at other
+ * instances, and those confirmations are refused.
  *
- * Instances tell each other which urgencies wait. Whoever is less urgent than what waits at another instance holds back, and
- * leaves endpoints and slots that the more urgent then fill. An endpoint that stays idle all the same is taken by anyone: nobody
- * stands still for a line that can't use it.
+ * Instances report to each other which urgencies wait. A request that is less urgent than one that waits at another
+ * instance yields: it leaves endpoints and slots that the more urgent requests then fill. An endpoint that stays idle
+ * all the same is open to any request, so that none is held up for a queue that can't use it.
  */
 import {compareUrgency, type UrgencyPair} from '../../routing/index.js';
 import {isAtRisk} from './waiting-queue.js';
 
-/** How many of one urgency wait. */
+/** Number of waiting requests of one urgency. */
 export type UrgencyCount = UrgencyPair & {readonly count: number};
 
-/** Which urgencies wait at one instance for one service; none once nothing waits. */
+/** Urgencies that wait at one instance for one service; empty once nothing waits. */
 export type QueueReport = {readonly type: 'waiting'; readonly owner: string; readonly service: string; readonly urgencies: readonly UrgencyCount[]};
 
-/** Urgencies that one instance tells for a service, those at risk and then the most urgent first: the others come after these anyway. */
-const mostUrgencies = 4;
-/** A shorter wait is usual where nothing is short: two looks at the line, and a message's way. */
-const leastWaitMilliseconds = 40;
-/** Told again after so long while it lasts: it rides with messages of load, of which a busy instance sends 15 to 60 a second. */
-const retellMilliseconds = 100;
-/** Believed for so long: two tellings may be late. */
-const believedMilliseconds = 300;
+/**
+ * Urgencies that one instance reports for a service, those at risk first and then the most urgent: the others come
+ * after these anyway.
+ */
+const maxReportedUrgencies = 4;
+/** A shorter wait is usual without any shortage: two placement searches and the transit of a message. */
+const minReportedWaitMilliseconds = 40;
+/**
+ * Time between two reports while requests wait. They are sent in the messages of load, of which a busy instance sends
+ * 15 to 60 a second.
+ */
+const reportIntervalMilliseconds = 100;
+/** Time for which a report counts: two successive ones may be late. */
+const reportLifetimeMilliseconds = 300;
 
-type Told = {readonly urgencies: readonly UrgencyCount[]; readonly at: number};
+type ReceivedReport = {readonly urgencies: readonly UrgencyCount[]; readonly receivedAt: number};
 
-/** What the other instances' lines are, as far as they told. */
+/** Queues of the other instances, as last reported. */
 export class PeerQueues {
 	static create(): PeerQueues {
 		return new PeerQueues();
 	}
 
-	readonly #told = new Map<string, Map<string, Told>>();
+	readonly #reports = new Map<string, Map<string, ReceivedReport>>();
 
 	update({owner, service, urgencies}: QueueReport, now: number): void {
-		const ofService = this.#told.get(service) ?? new Map<string, Told>();
-		this.#told.set(service, ofService);
+		const byInstance = this.#reports.get(service) ?? new Map<string, ReceivedReport>();
+		this.#reports.set(service, byInstance);
 		if (urgencies.length === 0) {
-			ofService.delete(owner);
+			byInstance.delete(owner);
 		} else {
-			ofService.set(owner, {urgencies, at: now});
+			byInstance.set(owner, {urgencies, receivedAt: now});
 		}
 	}
 
 	forget(owner: string): void {
-		for (const ofService of this.#told.values()) {
-			ofService.delete(owner);
+		for (const byInstance of this.#reports.values()) {
+			byInstance.delete(owner);
 		}
 	}
 
 	/**
-	 * Whether someone waits at another instance who is more urgent by workspace and by route, or who is at risk and of a more urgent kind. Else, where
-	 * the two differ, a draft of a workspace that goes first does not hold up a confirmation of one that doesn't: the order of backlogs is
-	 * enough there, and holding back would end a kind of request.
+	 * Whether a request waits at another instance that is more urgent by workspace and by route, or that is at risk and
+	 * of a more urgent route. Where workspace and route disagree, a draft of a workspace that goes first does not hold
+	 * up a confirmation of one that doesn't: the order of backlogs is enough there, and yielding would leave a kind of
+	 * request without any place.
 	 */
 	hasMoreUrgent(service: string, urgency: UrgencyPair, now: number): boolean {
-		for (const {urgencies, at} of this.#told.get(service)?.values() ?? []) {
-			if (now - at < believedMilliseconds && urgencies.some(other => other.route <= urgency.route && goesBefore(other, urgency))) {
+		for (const {urgencies, receivedAt} of this.#reports.get(service)?.values() ?? []) {
+			if (now - receivedAt < reportLifetimeMilliseconds && urgencies.some(other => other.route <= urgency.route && isMoreUrgent(other, urgency))) {
 				return true;
 			}
 		}
@@ -65,11 +73,11 @@
 		return false;
 	}
 
-	/** How many wait at the other instances who would be tried before one of this urgency, or beside it. */
+	/** Number of requests at other instances that would be tried before one of this urgency, or beside it. */
 	ahead(service: string, urgency: UrgencyPair, now: number): number {
 		let ahead = 0;
-		for (const {urgencies, at} of this.#told.get(service)?.values() ?? []) {
-			for (const {count, ...other} of now - at < believedMilliseconds ? urgencies : []) {
+		for (const {urgencies, receivedAt} of this.#reports.get(service)?.values() ?? []) {
+			for (const {count, ...other} of now - receivedAt < reportLifetimeMilliseconds ? urgencies : []) {
 				ahead += compareUrgency(other, urgency) <= 0 ? count : 0;
 			}
 		}
@@ -78,33 +86,33 @@
 	}
 }
 
-/** A pair without a workspace counts by its kind alone. */
-function goesBefore(other: UrgencyPair, urgency: UrgencyPair): boolean {
+/** Compares two urgencies; one without a workspace counts by its route alone. */
+function isMoreUrgent(other: UrgencyPair, urgency: UrgencyPair): boolean {
 	return other.workspace === undefined ? other.route < urgency.route : compareUrgency(other, urgency) < 0;
 }
 
-/** One that waits here. */
-export type OwnWaiting = {readonly service: string; readonly urgency: UrgencyPair; readonly arrivedAt: number; readonly lastStartAt: number};
+/** A request that waits at this instance. */
+export type LocalRequest = {readonly service: string; readonly urgency: UrgencyPair; readonly arrivedAt: number; readonly lastStartAt: number};
 
-/** The urgencies that have waited long enough to be told, by service, the most urgent first. */
-function waitingUrgencies(waiting: Iterable<OwnWaiting>, now: number): Map<string, readonly UrgencyCount[]> {
+/** Counts the urgencies that have waited long enough to be reported, by service, in the order of reports. */
+function countUrgencies(waiting: Iterable<LocalRequest>, now: number): Map<string, readonly UrgencyCount[]> {
 	const services = new Map<string, UrgencyCount[]>();
-	for (const one of waiting) {
-		if (now - one.arrivedAt >= leastWaitMilliseconds) {
-			const told = isAtRisk(one, now) ? {...one.urgency, workspace: undefined} : one.urgency;
-			services.set(one.service, countOne(services.get(one.service) ?? [], told));
+	for (const request of waiting) {
+		if (now - request.arrivedAt >= minReportedWaitMilliseconds) {
+			const reported = isAtRisk(request, now) ? {...request.urgency, workspace: undefined} : request.urgency;
+			services.set(request.service, addToCount(services.get(request.service) ?? [], reported));
 		}
 	}
 
-	return new Map([...services].map(([service, urgencies]) => [service, urgencies.toSorted(byKind).slice(0, mostUrgencies)]));
+	return new Map([...services].map(([service, urgencies]) => [service, urgencies.toSorted(byReportOrder).slice(0, maxReportedUrgencies)]));
 }
 
-/** Those at risk are told first of all. */
-function byKind(left: UrgencyPair, right: UrgencyPair): number {
+/** Puts requests at risk, which are reported without a workspace, before all others. */
+function byReportOrder(left: UrgencyPair, right: UrgencyPair): number {
 	return Number(left.workspace !== undefined) - Number(right.workspace !== undefined) || compareUrgency(left, right);
 }
 
-function countOne(urgencies: UrgencyCount[], urgency: UrgencyPair): UrgencyCount[] {
+function addToCount(urgencies: UrgencyCount[], urgency: UrgencyPair): UrgencyCount[] {
 	const index = urgencies.findIndex(other => other.route === urgency.route && other.workspace === urgency.workspace);
 	if (index === -1) {
 		return [...urgencies, {...urgency, count: 1}];
@@ -114,35 +122,37 @@
 	return urgencies;
 }
 
-/** Decides when this instance tells of its lines: while something waits now and then, and once when nothing waits any more. */
+/**
+ * Decides when this instance reports its queues: at intervals while requests wait, and once when none waits any more.
+ */
 export class QueueReporter {
 	static create(owner: string): QueueReporter {
 		return new QueueReporter(owner);
 	}
 
 	readonly #owner: string;
-	#told: ReadonlySet<string> = new Set();
-	#at = -Infinity;
+	#reportedServices: ReadonlySet<string> = new Set();
+	#reportedAt = -Infinity;
 
 	private constructor(owner: string) {
 		this.#owner = owner;
 	}
 
-	/** Whether there may be anything to tell; asked at each look at the line, so that nobody is counted in vain. */
+	/** Whether a report may be due; checked at each scan of the queue, so that requests are not counted in vain. */
 	isDue(isWaiting: boolean, now: number): boolean {
-		return !isWaiting || now - this.#at >= retellMilliseconds;
+		return !isWaiting || now - this.#reportedAt >= reportIntervalMilliseconds;
 	}
 
-	/** What there is to tell now. */
-	events(waiting: readonly OwnWaiting[], now: number): QueueReport[] {
+	/** Reports to send now; empty if none is due. */
+	events(waiting: readonly LocalRequest[], now: number): QueueReport[] {
 		if (!this.isDue(waiting.length > 0, now)) {
 			return [];
 		}
 
-		const urgencies = waitingUrgencies(waiting, now);
-		const ended = [...this.#told].filter(service => !urgencies.has(service));
-		this.#told = new Set(urgencies.keys());
-		this.#at = urgencies.size + ended.length > 0 ? now : this.#at;
+		const urgencies = countUrgencies(waiting, now);
+		const ended = [...this.#reportedServices].filter(service => !urgencies.has(service));
+		this.#reportedServices = new Set(urgencies.keys());
+		this.#reportedAt = urgencies.size + ended.length > 0 ? now : this.#reportedAt;
 		return [
 			...[...urgencies].map(([service, ofService]): QueueReport => ({type: 'waiting', owner: this.#owner, service, urgencies: ofService})),
 			...ended.map((service): QueueReport => ({type: 'waiting', owner: this.#owner, service, urgencies: []})),
--- a/src/policy/dispatch/placement.ts
+++ b/src/policy/dispatch/placement.ts
@@ -1,144 +1,162 @@
 /**
- * Load pattern: long prompts, short urgent questions and small jobs share engines that read prompts
- * between the tokens of what runs there. Sending by free slots alone breaks the urgent streams'
- * pauses and reads the same prompt beginnings on every engine.
+ * Load pattern: long prompts, short urgent questions and small jobs share engines that prefill prompts between the
+ * tokens of running streams. Placement by free slots alone exceeds the pause limits of urgent streams and prefills the
+ * same prompt prefixes on every engine.
  *
- * Each endpoint gets a cost in milliseconds: what the caller waits for its first event, what the
- * reading costs the service, and what it does to streams with tight pauses. Streams with the tightest
- * pauses fill endpoints in one order that every instance computes alike, so that they share few
- * endpoints, and others keep away from those for as long as they run there.
+ * Each endpoint gets a cost in milliseconds: the wait of the caller for its first event, the prefill time it takes from
+ * the service, and the delay it causes to latency-critical streams. Latency-critical streams fill endpoints in one
+ * order that every instance computes alike, so that they share few endpoints, and other requests avoid those for as
+ * long as such streams run there.
  */
 import {hash32, mixHashes} from '../hashing/index.js';
 import {visibleRequestShare} from '../sharing/index.js';
 import {type Candidate, type Choice, type PlacementContext, type Demand} from './demand.js';
-import {type Judged, judgeEngine, type Overview, usableSlots} from './engine-cost.js';
-import {homeCost, homesOf} from './prefix-affinity.js';
+import {type CostEstimate, estimateEngineCost, type CandidateSummary, usableSlots} from './engine-cost.js';
+import {affinityCost, preferredEndpoints} from './prefix-affinity.js';
 import {type EndpointLoad, type LoadTracker} from './load.js';
-import {type Holder, holdersOf} from './transfer.js';
+import {type CacheHolder, cacheHolders} from './transfer.js';
 
-/** Milliseconds of a round trip to another availability zone, and what its bytes cost. */
+/** Milliseconds of a round trip to another availability zone, and the cost of its traffic. */
 const otherZoneMilliseconds = 3;
 /**
- * Reading a token is paid once by the caller's wait and then by all that wait behind it: the more of
- * its time the service spends reading, the more of them there are. Failure: at the edge of overload
- * requests tire of waiting for who holds their beginning, others read it again, and with that the
- * service has twice the work and never comes back. At full load a saved token is therefore waited for
- * fifty times its reading, which is longer than callers have.
+ * Weights of prefill time in a cost: the caller waits for it, and then all requests behind it do, of which there are
+ * the more, the more of its time the service spends on prefill. Without the second weight, at the edge of overload
+ * requests stop waiting for the engine that has their prefix cached and have it prefilled elsewhere, which doubles the
+ * work of the service, so that it never recovers. At full load a cached token is therefore waited for up to fifty times
+ * its prefill time, which is longer than callers have.
  */
-const readingWeight = 5;
-const busyReadingWeight = 45;
+const prefillWeight = 5;
+const busyPrefillWeight = 45;
 
-/** Makes the draw of a request's place among engines of tight streams differ from other draws from the same hash. */
-const shiftSalt = 0x5E_ED_51;
+/**
+ * Separates the random starting position among the engines of latency-critical streams from other draws from the same
+ * hash.
+ */
+const startOffsetSalt = 0x5E_ED_51;
 
 /**
- * Failure: all callers come back in one moment, before any instance has heard of another's tight streams. Symptom: all of them go to the
- * first engine. An instance that knows next to nothing begins at any of this part of the engines.
+ * Share of the engines at one of which a latency-critical stream starts, if its instance knows almost nothing of the
+ * fleet. Without it, when all callers come back in one moment, before any instance has reports of the others'
+ * latency-critical streams, all of them go to the first engine.
  */
-const unseenSpread = 0.15;
+const unreportedStartShare = 0.15;
 
-/** The part of what is not heard of that is taken to be spread like what is; single engines vary too much to go by them alone. */
-const likeHeard = 0.2;
 /**
- * Of many engines the one that looks emptiest is fuller than it looks: so many times the usual error of what is not heard of is added, of as many runs
- * as are taken to be there.
+ * Share of the unreported load that is assumed to be distributed like the reported load; single engines vary too much
+ * to go by their reports alone.
+ */
+const proportionalShare = 0.2;
+/**
+ * Of many engines the one that looks emptiest is fuller than it looks: the standard error of the unreported runs, times
+ * this factor, is added to the estimate of each engine.
  */
-const unseenErrors = 0.75;
+const unreportedErrorFactor = 0.75;
 
-type Option = {readonly id: string; readonly cost: number; readonly judged: Judged};
+type EvaluatedCandidate = {readonly id: string; readonly cost: number; readonly estimate: CostEstimate};
 
 /**
- * Chooses among candidates; at least one is needed. An endpoint that is behind is waited for only as
- * long as it is better than the best that is free by more than the wait so far.
+ * Chooses among candidates; at least one is needed. A request waits for an endpoint whose backlog is too long only as
+ * long as that endpoint is better than the best available one by more than its wait and the time for which the request
+ * has deferred.
  */
-export function choosePlace(book: LoadTracker, demand: Demand, candidates: readonly Candidate[], circumstances: PlacementContext): Choice {
-	const overview = overviewOf(book, demand, candidates, circumstances);
-	const homes = demand.isLatencyCritical ? [] : homesOf(demand.parts, candidates, overview.takenByTight);
-	let free: Option | undefined;
-	let behind: Option | undefined;
+export function choosePlace(tracker: LoadTracker, demand: Demand, candidates: readonly Candidate[], context: PlacementContext): Choice {
+	const summary = summarizeCandidates(tracker, demand, candidates, context);
+	const preferred = demand.isLatencyCritical ? [] : preferredEndpoints(demand.parts, candidates, summary.reservedCount);
+	let available: EvaluatedCandidate | undefined;
+	let delayed: EvaluatedCandidate | undefined;
 	let leastPrefillTokens = Infinity;
 	for (const [index, candidate] of candidates.entries()) {
-		const load = overview.loads[index]!;
-		const judged = candidate.isEngine ? judgeEngine(book, demand, candidate, {load, place: index, isHome: candidate.id === homes[0], overview, circumstances}) : judgeService(book, demand, candidate, load);
-		const cost = judged.cost + (candidate.zone === circumstances.zone ? 0 : otherZoneMilliseconds) + homeCost(demand, homes, {id: candidate.id, prefillTokens: judged.prefillTokens});
-		leastPrefillTokens = Math.min(leastPrefillTokens, judged.prefillTokens);
-		if (judged.wait > 0) {
-			behind = behind === undefined || cost < behind.cost ? {id: candidate.id, cost, judged} : behind;
+		const load = summary.loads[index]!;
+		const estimate = candidate.isEngine
+			? estimateEngineCost(tracker, demand, candidate, {load, position: index, isPreferred: candidate.id === preferred[0], summary, context})
+			: estimateServiceCost(tracker, demand, candidate, load);
+		const cost = estimate.cost + (candidate.zone === context.zone ? 0 : otherZoneMilliseconds) + affinityCost(demand, preferred, {id: candidate.id, prefillTokens: estimate.prefillTokens});
+		leastPrefillTokens = Math.min(leastPrefillTokens, estimate.prefillTokens);
+		if (estimate.waitMilliseconds > 0) {
+			delayed = delayed === undefined || cost < delayed.cost ? {id: candidate.id, cost, estimate} : delayed;
 		} else {
-			free = free === undefined || cost < free.cost ? {id: candidate.id, cost, judged} : free;
+			available = available === undefined || cost < available.cost ? {id: candidate.id, cost, estimate} : available;
 		}
 	}
 
-	const isWorthWaiting = !demand.isLatencyCritical && behind !== undefined && free !== undefined && behind.cost + behind.judged.wait + demand.waitedMilliseconds < free.cost;
-	if (free === undefined || isWorthWaiting) {
-		return {type: 'wait', endpoint: behind!.id, milliseconds: behind!.judged.wait, isDeferral: free !== undefined};
+	const isWorthWaiting = !demand.isLatencyCritical && delayed !== undefined && available !== undefined
+		&& delayed.cost + delayed.estimate.waitMilliseconds + demand.waitedMilliseconds < available.cost;
+	if (available === undefined || isWorthWaiting) {
+		return {type: 'wait', endpoint: delayed!.id, milliseconds: delayed!.estimate.waitMilliseconds, isDeferral: available !== undefined};
 	}
 
-	const {prefillTokens, fetch, expected} = free.judged;
-	return {type: 'place', endpoint: free.id, prefillTokens, fetch, expectedMilliseconds: expected, leastPrefillTokens};
+	const {prefillTokens, fetch, expectedMilliseconds} = available.estimate;
+	return {type: 'place', endpoint: available.id, prefillTokens, fetch, expectedMilliseconds, leastPrefillTokens};
 }
 
-function overviewOf(book: LoadTracker, {parts}: Demand, candidates: readonly Candidate[], circumstances: PlacementContext): Overview {
+function summarizeCandidates(tracker: LoadTracker, {parts}: Demand, candidates: readonly Candidate[], context: PlacementContext): CandidateSummary {
 	const loads: EndpointLoad[] = [];
-	let reading = 0;
+	let prefillTimeShares = 0;
 	let latencyCriticalRuns = 0;
 	let slots = 0;
 	for (const candidate of candidates) {
-		const load = book.load(candidate.id, circumstances.now);
+		const load = tracker.load(candidate.id, context.now);
 		loads.push(load);
-		reading += load.readingShare;
+		prefillTimeShares += load.prefillTimeShare;
 		latencyCriticalRuns += load.latencyCriticalRuns;
 		slots += candidate.slots;
 	}
 
 	const count = candidates.length;
-	const seen = visibleRequestShare(circumstances.view);
-	const takenByTight = Math.ceil(latencyCriticalRuns / seen / (slots / count * circumstances.tuning.tightFill * ((1 + seen) / 2)));
-	let holders: readonly Holder[] | undefined;
+	const visibleShare = visibleRequestShare(context.view);
+	const reservedCount = Math.ceil(latencyCriticalRuns / visibleShare / (slots / count * context.tuning.tightFill * ((1 + visibleShare) / 2)));
+	let holders: readonly CacheHolder[] | undefined;
 	return {
-		loads: seen === 1 ? loads : withUnseen(loads, {takenByTight, latencyCriticalRuns: latencyCriticalRuns / seen, seen}),
-		spread: Math.max(takenByTight, Math.ceil(count * unseenSpread * (1 - seen))),
-		seen,
-		shift: seen === 1 ? 0 : mixHashes(parts.at(-1)?.id ?? 0, shiftSalt),
-		readingWeight: readingWeight + (busyReadingWeight * (Math.min(1, reading / count) ** 2)),
-		takenByTight: takenByTight >= count ? 0 : takenByTight,
+		loads: visibleShare === 1 ? loads : withUnreportedLoad(loads, {reservedCount, latencyCriticalRuns: latencyCriticalRuns / visibleShare, visibleShare}),
+		startRange: Math.max(reservedCount, Math.ceil(count * unreportedStartShare * (1 - visibleShare))),
+		visibleShare,
+		startOffset: visibleShare === 1 ? 0 : mixHashes(parts.at(-1)?.id ?? 0, startOffsetSalt),
+		prefillWeight: prefillWeight + (busyPrefillWeight * (Math.min(1, prefillTimeShares / count) ** 2)),
+		reservedCount: reservedCount >= count ? 0 : reservedCount,
 		holders() {
-			holders ??= holdersOf(book, parts, candidates, {tuning: circumstances.tuning, loads});
+			holders ??= cacheHolders(tracker, parts, candidates, {tuning: context.tuning, loads});
 			return holders;
 		},
 	};
 }
 
 /**
- * Failure: an instance hears of a part of what the fleet sends. Symptom: it takes engines for half as full as they are, and under load all of them
- * get twice as many requests as they have slots; or it sends long prompts where tight streams run of which it hasn't heard. What is not heard of is taken to
- * be at an engine partly as much as what is, and partly as anywhere. The engines that are left to tight streams run an equal part of these.
+ * Adds the load of which this instance has no reports. Without it, an instance that sees a part of what the fleet sends
+ * takes engines for half as full as they are, and under load all of them get twice as many requests as they have slots;
+ * or it sends long prompts to engines that run latency-critical streams it has no reports of. Unreported load is
+ * assumed to be distributed partly like the reported load and partly evenly. Engines reserved for latency-critical
+ * streams are assumed to run an equal share of these.
  */
-function withUnseen(loads: readonly EndpointLoad[], {takenByTight, latencyCriticalRuns, seen}: {takenByTight: number; latencyCriticalRuns: number; seen: number}): EndpointLoad[] {
-	const unseen = (1 - seen) / seen;
-	const add = (heard: number, mean: number): number => heard + (unseen * ((heard * likeHeard) + (mean * (1 - likeHeard))));
+function withUnreportedLoad(loads: readonly EndpointLoad[], {reservedCount, latencyCriticalRuns, visibleShare}: {
+	reservedCount: number; latencyCriticalRuns: number; visibleShare: number;
+}): EndpointLoad[] {
+	const unreportedPerReported = (1 - visibleShare) / visibleShare;
+	const add = (reported: number, mean: number): number => reported + (unreportedPerReported * ((reported * proportionalShare) + (mean * (1 - proportionalShare))));
 	const mean = {running: meanOf(loads, ({running}) => running), backlog: meanOf(loads, ({backlogMilliseconds}) => backlogMilliseconds)};
-	return loads.map((load, place) => place < takenByTight
-		? {...load, running: load.running / seen, latencyCriticalRuns: Math.max(load.latencyCriticalRuns / seen, latencyCriticalRuns / takenByTight)}
+	return loads.map((load, position) => position < reservedCount
+		? {...load, running: load.running / visibleShare, latencyCriticalRuns: Math.max(load.latencyCriticalRuns / visibleShare, latencyCriticalRuns / reservedCount)}
 		: {...load, running: withError(add(load.running, mean.running), load.running), backlogMilliseconds: add(load.backlogMilliseconds, mean.backlog)});
 }
 
-function withError(estimated: number, heard: number): number {
-	return estimated + (unseenErrors * Math.sqrt(estimated - heard));
+function withError(estimated: number, reported: number): number {
+	return estimated + (unreportedErrorFactor * Math.sqrt(estimated - reported));
 }
 
-function meanOf(loads: readonly EndpointLoad[], part: (load: EndpointLoad) => number): number {
-	return loads.reduce((sum, load) => sum + part(load), 0) / loads.length;
+function meanOf(loads: readonly EndpointLoad[], select: (load: EndpointLoad) => number): number {
+	return loads.reduce((sum, load) => sum + select(load), 0) / loads.length;
 }
 
-function judgeService(book: LoadTracker, demand: Demand, candidate: Candidate, {running}: EndpointLoad): Judged {
-	const work = book.serviceTimeMilliseconds(demand.service);
-	const expected = work * Math.max(1, (running + 1) / candidate.slots);
-	const wait = running >= usableSlots(candidate, demand) ? work / candidate.slots : 0;
-	return {cost: running / candidate.slots * work, wait, prefillTokens: 0, fetch: undefined, expected};
+function estimateServiceCost(tracker: LoadTracker, demand: Demand, candidate: Candidate, {running}: EndpointLoad): CostEstimate {
+	const serviceTimeMilliseconds = tracker.serviceTimeMilliseconds(demand.service);
+	const expectedMilliseconds = serviceTimeMilliseconds * Math.max(1, (running + 1) / candidate.slots);
+	const waitMilliseconds = running >= usableSlots(candidate, demand) ? serviceTimeMilliseconds / candidate.slots : 0;
+	return {cost: running / candidate.slots * serviceTimeMilliseconds, waitMilliseconds, prefillTokens: 0, fetch: undefined, expectedMilliseconds};
 }
 
-/** Puts candidates in the order in which tight streams fill them; ids decide, so all instances agree. */
+/**
+ * Sorts candidates into the order in which latency-critical streams fill them; it depends on the ids alone, so that all
+ * instances agree.
+ */
 export function inHashOrder(candidates: ReadonlyArray<Omit<Candidate, 'hash'>>): Candidate[] {
 	return candidates.map(candidate => ({...candidate, hash: hash32(candidate.id)})).toSorted((left, right) => left.hash - right.hash);
 }
--- a/src/policy/dispatch/prefix-affinity.ts
+++ b/src/policy/dispatch/prefix-affinity.ts
@@ -3,45 +3,51 @@
 import {type PromptPart} from './prefix-cache.js';
 
 /**
- * The first choices of a prompt's beginning by rendezvous hashing are better by so much: about the reading
- * that a kept beginning saves, so that instances agree also on where it goes first, and what the first
- * can't take meets on the next. Without that, many instances send what they spill to the same idle
- * endpoint before they hear of each other.
+ * Gains of the first four preferred endpoints of a prompt's prefix by rendezvous hashing. The first is about the
+ * prefill time that a cached prefix saves, so that instances agree also on where a prefix goes first, and what that
+ * endpoint can't take meets on the next. Without the gains, many instances send what exceeds an endpoint to the same
+ * idle one before they receive each other's reports.
  */
-const homeMilliseconds = [80, 40, 20, 10] as const;
-/** An endpoint that neither is a home nor gets the beginning unread is worse by so much, unless the request has passed over for as long. */
-const strangerMilliseconds = 80;
+const preferenceMilliseconds = [80, 40, 20, 10] as const;
+/**
+ * Cost of an endpoint that is not preferred and would have to prefill the prefix; it falls by the time for which the
+ * request has deferred.
+ */
+const notPreferredMilliseconds = 80;
 
-/** Where the shared beginning of a prompt belongs, best first: not where tight streams of now run. */
-export function homesOf(parts: readonly PromptPart[], candidates: readonly Candidate[], takenByTight: number): readonly string[] {
+/**
+ * Preferred endpoints of the shared prefix of a prompt, best first; engines reserved for latency-critical streams are
+ * left out.
+ */
+export function preferredEndpoints(parts: readonly PromptPart[], candidates: readonly Candidate[], reservedCount: number): readonly string[] {
 	const shared = parts.at(-2);
 	if (shared === undefined) {
 		return [];
 	}
 
-	const homes: Array<{id: string; score: number}> = [];
+	const preferred: Array<{id: string; score: number}> = [];
 	for (const [index, {id, hash}] of candidates.entries()) {
 		const score = mixHashes(shared.id, hash);
-		const last = homes.at(homeMilliseconds.length - 1);
-		if (index < takenByTight || (last !== undefined && score <= last.score)) {
+		const last = preferred.at(preferenceMilliseconds.length - 1);
+		if (index < reservedCount || (last !== undefined && score <= last.score)) {
 			continue;
 		}
 
-		homes.push({id, score});
-		homes.sort((left, right) => right.score - left.score);
-		homes.length = Math.min(homes.length, homeMilliseconds.length);
+		preferred.push({id, score});
+		preferred.sort((left, right) => right.score - left.score);
+		preferred.length = Math.min(preferred.length, preferenceMilliseconds.length);
 	}
 
-	return homes.map(({id}) => id);
+	return preferred.map(({id}) => id);
 }
 
-/** What a place costs for being no home of the prompt's beginning, less what it gains for being one. */
-export function homeCost({parts, waitedMilliseconds}: Demand, homes: readonly string[], {id, prefillTokens}: {id: string; prefillTokens: number}): number {
-	const rank = homes.indexOf(id);
+/** Cost of an endpoint for not being preferred for the prompt's prefix; negative for one that is. */
+export function affinityCost({parts, waitedMilliseconds}: Demand, preferred: readonly string[], {id, prefillTokens}: {id: string; prefillTokens: number}): number {
+	const rank = preferred.indexOf(id);
 	if (rank !== -1) {
-		return -(homeMilliseconds[rank] ?? 0);
+		return -(preferenceMilliseconds[rank] ?? 0);
 	}
 
-	const own = parts.at(-1)?.tokens ?? 0;
-	return homes.length === 0 || prefillTokens <= own ? 0 : Math.max(0, strangerMilliseconds - waitedMilliseconds);
+	const unsharedTokens = parts.at(-1)?.tokens ?? 0;
+	return preferred.length === 0 || prefillTokens <= unsharedTokens ? 0 : Math.max(0, notPreferredMilliseconds - waitedMilliseconds);
 }
--- a/src/policy/dispatch/prefix-cache.ts
+++ b/src/policy/dispatch/prefix-cache.ts
@@ -1,114 +1,118 @@
 /**
- * A part of a prompt, in its order; equal ids hold equal tokens. The id is a hash of 32 bits, which keeps
- * messages between instances short; two parts that share one cost a wrong guess, not a wrong answer.
+ * A part of a prompt; parts come in the order of the prompt, and equal ids hold equal tokens. The id is a hash of 32
+ * bits, which keeps messages between instances short; two parts that share one cause a wrong estimate, not a wrong
+ * response.
  */
 export type PromptPart = {readonly id: number; readonly tokens: number};
 
-/** The tokens of parts together. */
+/** Total tokens of the parts. */
 export function tokensOf(parts: readonly PromptPart[]): number {
 	return parts.reduce((sum, {tokens}) => sum + tokens, 0);
 }
 
-/** Parts as they travel between instances: ids and tokens in turn. */
+/** Parts as instances exchange them: ids and token counts in turn. */
 export function flattenParts(parts: readonly PromptPart[]): number[] {
 	return parts.flatMap(({id, tokens}) => [id, tokens]);
 }
 
-/** The parts of such numbers; a last one without its pair is dropped. */
+/** Restores parts from such numbers; a last id without its token count is dropped. */
 export function unflattenParts(values: readonly number[]): PromptPart[] {
 	return Array.from({length: Math.floor(values.length / 2)}, (_, index) => ({id: values[index * 2]!, tokens: values[(index * 2) + 1]!}));
 }
 
 /**
- * The share of an engine's memory that kept parts are taken to fill: the rest is running requests and
- * what other callers keep there. Taking too much for kept costs a wrong guess, not a wrong answer.
+ * Share of an engine's memory that cached parts are assumed to fill: the rest holds running requests and prompts of
+ * other callers. Too high a share causes a wrong estimate, not a wrong response.
  */
-const keptShare = 0.75;
+const cacheShare = 0.75;
 
 /**
- * Load pattern: many requests share long prompt beginnings, and an engine reads again what it has
- * dropped. This is what one endpoint is taken to hold, least recently used first out, as the engine
- * itself does. A part helps only if all parts before it are held too.
+ * Model of the prefix cache of one endpoint. Load pattern: many requests share long prompt prefixes, and an engine
+ * prefills again what it has evicted. The model evicts the least recently used part first, as the engine itself does. A
+ * part helps only if all parts before it are cached too.
  */
-export class PartMemory {
-	static create(memoryTokens: number): PartMemory {
-		return new PartMemory(memoryTokens * keptShare);
+export class PrefixCache {
+	static create(memoryTokens: number): PrefixCache {
+		return new PrefixCache(memoryTokens * cacheShare);
 	}
 
-	#limitTokens: number;
-	readonly #parts = new Map<number, {tokens: number; isRead: boolean}>();
-	#total = 0;
+	#capacityTokens: number;
+	readonly #parts = new Map<number, {tokens: number; isPrefilled: boolean}>();
+	#totalTokens = 0;
 
-	private constructor(limitTokens: number) {
-		this.#limitTokens = limitTokens;
+	private constructor(capacityTokens: number) {
+		this.#capacityTokens = capacityTokens;
 	}
 
-	/** Says how much the endpoint's memory holds, where that was not known before. */
-	setMemory(memoryTokens: number): void {
-		this.#limitTokens = memoryTokens * keptShare;
-		this.#shrink();
+	/** Sets the memory of the endpoint, in tokens, where it was not known before. */
+	setCapacity(memoryTokens: number): void {
+		this.#capacityTokens = memoryTokens * cacheShare;
+		this.#evict();
 	}
 
-	/** What the endpoint itself says it holds, least recently used first; what is on its way there stays. */
+	/**
+	 * Takes over what the endpoint itself reports as cached, least recently used first; parts that are on their way
+	 * there stay.
+	 */
 	replace(parts: readonly PromptPart[]): void {
-		const coming = [...this.#parts].filter(([, {isRead}]) => !isRead).map(([id, {tokens}]) => ({id, tokens}));
+		const pending = [...this.#parts].filter(([, {isPrefilled: isRead}]) => !isRead).map(([id, {tokens}]) => ({id, tokens}));
 		this.clear();
 		this.use(parts);
-		this.noteRead(parts);
-		this.use(coming);
+		this.markPrefilled(parts);
+		this.use(pending);
 	}
 
-	/** Tokens that the endpoint still has to read when it comes to this prompt. */
-	unread(parts: readonly PromptPart[]): number {
+	/** Tokens that the endpoint will have to prefill when it comes to this prompt. */
+	uncachedTokens(parts: readonly PromptPart[]): number {
 		return tokensFrom(parts, parts.findIndex(({id}) => !this.#parts.has(id)));
 	}
 
-	/** Tokens that are not here yet: what is sent here counts only once it was read. */
-	missing(parts: readonly PromptPart[]): number {
-		return tokensFrom(parts, parts.findIndex(({id}) => this.#parts.get(id)?.isRead !== true));
+	/** Tokens that can't be fetched from here yet: a part that was sent here counts only once it was prefilled. */
+	unavailableTokens(parts: readonly PromptPart[]): number {
+		return tokensFrom(parts, parts.findIndex(({id}) => this.#parts.get(id)?.isPrefilled !== true));
 	}
 
-	/** The parts are on their way here, or used now. */
+	/** Marks parts as used: they are on their way here, or in use now. */
 	use(parts: readonly PromptPart[]): void {
 		for (const {id, tokens} of parts) {
-			const held = this.#parts.get(id);
-			this.#total += tokens - (held?.tokens ?? 0);
+			const cached = this.#parts.get(id);
+			this.#totalTokens += tokens - (cached?.tokens ?? 0);
 			this.#parts.delete(id);
-			this.#parts.set(id, {tokens, isRead: held?.isRead === true});
+			this.#parts.set(id, {tokens, isPrefilled: cached?.isPrefilled === true});
 		}
 
-		this.#shrink();
+		this.#evict();
 	}
 
-	/** The endpoint has read them: others may take them from here. */
-	noteRead(parts: readonly PromptPart[]): void {
+	/** Marks parts as prefilled, so that other engines may fetch them from here. */
+	markPrefilled(parts: readonly PromptPart[]): void {
 		for (const {id} of parts) {
-			const held = this.#parts.get(id);
-			if (held !== undefined) {
-				held.isRead = true;
+			const cached = this.#parts.get(id);
+			if (cached !== undefined) {
+				cached.isPrefilled = true;
 			}
 		}
 	}
 
-	/** The endpoint started anew and holds nothing. */
+	/** Empties the cache after a restart of the endpoint. */
 	clear(): void {
 		this.#parts.clear();
-		this.#total = 0;
+		this.#totalTokens = 0;
 	}
 
-	#shrink(): void {
+	#evict(): void {
 		for (const [id, {tokens}] of this.#parts) {
-			if (this.#total <= this.#limitTokens) {
+			if (this.#totalTokens <= this.#capacityTokens) {
 				return;
 			}
 
 			this.#parts.delete(id);
-			this.#total -= tokens;
+			this.#totalTokens -= tokens;
 		}
 	}
 }
 
-/** The tokens of the parts from one on; none for -1. */
+/** Total tokens of the parts from index `start` on; 0 for -1. */
 function tokensFrom(parts: readonly PromptPart[], start: number): number {
 	return start === -1 ? 0 : tokensOf(parts.slice(start));
 }
--- a/src/policy/dispatch/retry-share.ts
+++ b/src/policy/dispatch/retry-share.ts
@@ -1,20 +1,22 @@
 /**
- * Load pattern: a fault makes many requests fail at once, at all instances, and the retries of all of
- * them together must stay within one allowance a service: a ratio of its requests in a window, and a
- * fixed slack. Each instance spends the ratio on its own requests and an equal part of the slack, so
- * that the sum holds without a word between them.
+ * Load pattern: a fault makes many requests fail at once, at all instances, and the retries of all of them together
+ * must stay within one allowance for each service: a ratio of its requests in a window, and a fixed slack. Each
+ * instance spends the ratio on its own requests and an equal share of the slack, so that the sum holds without
+ * communication.
  */
 export type RetryAllowance = {
 	/** Retries for each request. */
 	readonly ratio: number;
-	/** Retries in a window beside the ratio, for all instances together. */
+	/** Retries in a window in addition to the ratio, for all instances together. */
 	readonly slack: number;
 	readonly windowMilliseconds: number;
 };
 
-/** The part that is spent: what other instances count differently at a window's edge stays unspent. */
-const spentShare = 0.6;
-/** Buckets in a window; a window slides by one bucket. */
+/**
+ * Share of the allowance that is spent; the rest covers what other instances count differently at the edge of a window.
+ */
+const usableShare = 0.6;
+/** Buckets in a window; the window slides by one bucket. */
 const bucketCount = 10;
 
 type Bucket = {readonly index: number; requests: number; retries: number};
@@ -39,14 +41,14 @@
 		this.#bucket(service, now).requests += 1;
 	}
 
-	/** Takes one retry if the allowance has it, for one of so many live instances. */
+	/** Takes one retry if the allowance has it, for one of this many live instances. */
 	takeRetry(service: string, instances: number, now: number): boolean {
 		const bucket = this.#bucket(service, now);
 		const {ratio, slack} = this.#allowance;
 		const buckets = this.#buckets.get(service) ?? [];
 		const requests = buckets.reduce((sum, one) => sum + one.requests, 0);
 		const retries = buckets.reduce((sum, one) => sum + one.retries, 0);
-		const allowed = spentShare * ((requests * ratio) + (slack / Math.max(1, instances)));
+		const allowed = usableShare * ((requests * ratio) + (slack / Math.max(1, instances)));
 		if (retries + 1 > allowed) {
 			return false;
 		}
@@ -57,15 +59,15 @@
 
 	#bucket(service: string, now: number): Bucket {
 		const index = Math.floor(now / (this.#allowance.windowMilliseconds / bucketCount));
-		const kept = (this.#buckets.get(service) ?? []).filter(bucket => bucket.index > index - bucketCount);
-		this.#buckets.set(service, kept);
-		const last = kept.at(-1);
+		const recent = (this.#buckets.get(service) ?? []).filter(bucket => bucket.index > index - bucketCount);
+		this.#buckets.set(service, recent);
+		const last = recent.at(-1);
 		if (last?.index === index) {
 			return last;
 		}
 
 		const bucket = {index, requests: 0, retries: 0};
-		kept.push(bucket);
+		recent.push(bucket);
 		return bucket;
 	}
 }
--- a/src/policy/dispatch/speed.ts
+++ b/src/policy/dispatch/speed.ts
@@ -1,106 +1,111 @@
 /**
- * Load pattern: engines of one service read prompts at a pace that no setting tells, between the tokens
- * of what runs there. Guessed at twice the true pace, backlogs look half as long as they are, and long
- * prompts are sent where they can't be read in time.
+ * Load pattern: engines of one service prefill prompts at a rate that no setting states, between the tokens of running
+ * streams. If the rate is estimated at twice its true value, backlogs look half as long as they are, and long prompts
+ * are sent where they can't be prefilled in time.
  *
- * A sample is a span in which one engine always had something to read: how many tokens it read, and how
- * long that took. Prompts that are read side by side shift first events within a span, but not its
- * length, so that the pace of single prompts is not needed. Long spans tell of the pace, short ones
- * of the latency that each first event has besides.
+ * A sample is a span in which one engine always had prefill to do: the tokens it prefilled, and the time that took.
+ * Prompts that are prefilled side by side shift first events within a span, but not its length, so that the rate of
+ * single prompts is not needed. Long spans determine the rate, short ones the latency that each first event has in
+ * addition.
  */
-export type ReadingSpeed = {
-	/** Milliseconds from sending to the first event of a prompt that is held whole. */
+export type PrefillSpeed = {
+	/** Base latency: milliseconds from sending to the first event of a prompt that is cached completely. */
 	readonly baseMilliseconds: number;
 	readonly tokensPerMillisecond: number;
-	/** How many long spans were taken. */
+	/** Number of long spans that were learned from. */
 	readonly samples: number;
-	/** Weighted sums over samples, of which older ones count ever less. */
-	readonly long: RatioSums;
-	readonly short: RatioSums;
+	/** Weighted sums over samples, in which older ones count ever less. */
+	readonly rateSums: RatioSums;
+	readonly baseSums: RatioSums;
 };
 
 /** A ratio of two sums. */
-type RatioSums = {readonly above: number; readonly below: number};
+type RatioSums = {readonly numerator: number; readonly denominator: number};
 
-/** One span at one engine. */
-export type ReadingSpan = {
+/** One span of continuous prefill at one engine. */
+export type PrefillSpan = {
 	readonly tokens: number;
 	readonly milliseconds: number;
-	/** True if the engine had nothing to read before: the latency of a first event is part of the span. */
-	readonly isFromRest: boolean;
+	/** True if the engine was idle before: the latency of a first event is part of the span. */
+	readonly isFromIdle: boolean;
 };
 
-/** A span of fewer tokens tells of the base, one of more tells of the pace. */
-const longTokens = 1500;
-/** The newest sample counts whole, one of a hundred samples ago a third: seconds in steady traffic. */
-const keptWeight = 0.99;
+/** A span of fewer tokens determines the base latency, one of more tokens the rate. */
+const longSpanTokens = 1500;
 /**
- * What a sample counts at most against what was predicted. Work that nobody told of makes spans longer,
- * without bound, and nothing makes them shorter, so that the first is cut much closer. The first samples
- * may differ by more, to leave a wrong first guess behind; half of that is gone after ten.
+ * Factor on the weight of older samples with each new one: a sample counts a third after a hundred more, which takes
+ * seconds in steady traffic.
  */
-const largestFactor = {longer: 1.1, shorter: 1.4, atFirst: 1.5, halfSamples: 10};
-/** For the same reason a sample that took longer than predicted weighs less: half of all may be disturbed. */
-const longerWeight = 0.4;
-const largestDifferenceMilliseconds = {fromRest: 15, goingOn: 3};
-/** The pace of engines between an old accelerator and several new ones, in tokens a millisecond. */
-const paceBounds = {low: 15, high: 600};
+const retainedWeight = 0.99;
+/**
+ * Limits on how far a sample may lie from the prediction. Unreported work makes spans longer without bound, and nothing
+ * makes them shorter, so that longer samples are limited much more closely. The first samples may differ by more, to
+ * correct a wrong initial estimate; half of that is gone after ten.
+ */
+const deviationFactors = {longer: 1.1, shorter: 1.4, initial: 1.5, halfSamples: 10};
+/**
+ * Weight of a sample that took longer than predicted, lower for the same reason: half of all samples may be disturbed.
+ */
+const slowSampleWeight = 0.4;
+const deviationMilliseconds = {fromIdle: 15, continuing: 3};
+/** Prefill rates between one old accelerator and several new ones, in tokens a millisecond. */
+const rateBounds = {low: 15, high: 600};
 const baseBounds = {low: 2, high: 200};
-/** A middling engine, taken for granted as strongly as one span of each kind. */
-const first = {baseMilliseconds: 40, tokensPerMillisecond: 90};
-const firstTokens = 6000;
+/** Initial estimate of an average engine, with the weight of one span of each kind. */
+const initialSpeed = {baseMilliseconds: 40, tokensPerMillisecond: 90};
+const initialTokens = 6000;
 
-/** Before anything was seen: a middling engine. */
-export function createReadingSpeed(): ReadingSpeed {
+/** The estimate before any sample: an average engine. */
+export function createPrefillSpeed(): PrefillSpeed {
 	return {
-		...first,
+		...initialSpeed,
 		samples: 0,
-		long: {above: firstTokens ** 2, below: (firstTokens ** 2) / first.tokensPerMillisecond},
-		short: {above: first.baseMilliseconds, below: 1},
+		rateSums: {numerator: initialTokens ** 2, denominator: (initialTokens ** 2) / initialSpeed.tokensPerMillisecond},
+		baseSums: {numerator: initialSpeed.baseMilliseconds, denominator: 1},
 	};
 }
 
-/** Takes one span. What lies far off the prediction moves it only so far. */
-export function learnReadingSpeed(state: ReadingSpeed, span: ReadingSpan): ReadingSpeed {
+/** Learns from one span, whose distance from the prediction is limited. */
+export function learnPrefillSpeed(state: PrefillSpeed, span: PrefillSpan): PrefillSpeed {
 	const predicted = predictedMilliseconds(state, span);
-	const weight = span.milliseconds > predicted ? longerWeight : 1;
-	const milliseconds = cut(state, span, predicted);
-	return span.tokens < longTokens ? learnBase(state, {...span, milliseconds}, weight) : learnPace(state, {...span, milliseconds}, weight);
+	const weight = span.milliseconds > predicted ? slowSampleWeight : 1;
+	const milliseconds = limitDeviation(state, span, predicted);
+	return span.tokens < longSpanTokens ? learnBase(state, {...span, milliseconds}, weight) : learnRate(state, {...span, milliseconds}, weight);
 }
 
-/** Tokens and time are weighted by the tokens, since a long span says most of the pace. */
-function learnPace(state: ReadingSpeed, {tokens, milliseconds, isFromRest}: ReadingSpan, weight: number): ReadingSpeed {
-	const reading = Math.max(1, milliseconds - (isFromRest ? state.baseMilliseconds : 0));
-	const long = add(state.long, {above: tokens * tokens, below: tokens * reading}, weight);
-	return {...state, samples: state.samples + 1, long, tokensPerMillisecond: clamp(long.above / long.below, paceBounds)};
+/** Tokens and time are weighted by the tokens, since a long span says most about the rate. */
+function learnRate(state: PrefillSpeed, {tokens, milliseconds, isFromIdle}: PrefillSpan, weight: number): PrefillSpeed {
+	const prefillTime = Math.max(1, milliseconds - (isFromIdle ? state.baseMilliseconds : 0));
+	const rateSums = addSample(state.rateSums, {numerator: tokens * tokens, denominator: tokens * prefillTime}, weight);
+	return {...state, samples: state.samples + 1, rateSums, tokensPerMillisecond: clamp(rateSums.numerator / rateSums.denominator, rateBounds)};
 }
 
-function learnBase(state: ReadingSpeed, {tokens, milliseconds, isFromRest}: ReadingSpan, weight: number): ReadingSpeed {
-	if (!isFromRest) {
+function learnBase(state: PrefillSpeed, {tokens, milliseconds, isFromIdle}: PrefillSpan, weight: number): PrefillSpeed {
+	if (!isFromIdle) {
 		return state;
 	}
 
-	const short = add(state.short, {above: milliseconds - prefillMilliseconds(state, tokens), below: 1}, weight);
-	return {...state, short, baseMilliseconds: clamp(short.above / short.below, baseBounds)};
+	const baseSums = addSample(state.baseSums, {numerator: milliseconds - prefillMilliseconds(state, tokens), denominator: 1}, weight);
+	return {...state, baseSums, baseMilliseconds: clamp(baseSums.numerator / baseSums.denominator, baseBounds)};
 }
 
-function predictedMilliseconds(state: ReadingSpeed, {tokens, isFromRest}: ReadingSpan): number {
-	return (isFromRest ? state.baseMilliseconds : 0) + prefillMilliseconds(state, tokens);
+function predictedMilliseconds(state: PrefillSpeed, {tokens, isFromIdle}: PrefillSpan): number {
+	return (isFromIdle ? state.baseMilliseconds : 0) + prefillMilliseconds(state, tokens);
 }
 
-function cut(state: ReadingSpeed, {milliseconds, isFromRest}: ReadingSpan, predicted: number): number {
-	const difference = isFromRest ? largestDifferenceMilliseconds.fromRest : largestDifferenceMilliseconds.goingOn;
-	const early = largestFactor.atFirst * largestFactor.halfSamples / (largestFactor.halfSamples + state.samples);
-	return clamp(milliseconds, {low: (predicted / (largestFactor.shorter + early)) - difference, high: (predicted * (largestFactor.longer + early)) + difference});
+function limitDeviation(state: PrefillSpeed, {milliseconds, isFromIdle}: PrefillSpan, predicted: number): number {
+	const deviation = isFromIdle ? deviationMilliseconds.fromIdle : deviationMilliseconds.continuing;
+	const initialAllowance = deviationFactors.initial * deviationFactors.halfSamples / (deviationFactors.halfSamples + state.samples);
+	return clamp(milliseconds, {low: (predicted / (deviationFactors.shorter + initialAllowance)) - deviation, high: (predicted * (deviationFactors.longer + initialAllowance)) + deviation});
 }
 
-/** The time an engine needs to read so many tokens. */
-export function prefillMilliseconds(state: ReadingSpeed, tokens: number): number {
+/** Time an engine needs to prefill this many tokens. */
+export function prefillMilliseconds(state: PrefillSpeed, tokens: number): number {
 	return tokens / state.tokensPerMillisecond;
 }
 
-function add(sums: RatioSums, {above, below}: RatioSums, weight: number): RatioSums {
-	return {above: (sums.above * keptWeight) + (weight * above), below: (sums.below * keptWeight) + (weight * below)};
+function addSample(sums: RatioSums, {numerator, denominator}: RatioSums, weight: number): RatioSums {
+	return {numerator: (sums.numerator * retainedWeight) + (weight * numerator), denominator: (sums.denominator * retainedWeight) + (weight * denominator)};
 }
 
 function clamp(value: number, {low, high}: {low: number; high: number}): number {
--- a/src/policy/dispatch/transfer.ts
+++ b/src/policy/dispatch/transfer.ts
@@ -1,34 +1,39 @@
 /**
- * Load pattern: requests share long beginnings, and the engines that hold one are busy or full. Read
- * again elsewhere, a beginning of 13,000 tokens takes an engine 200 ms in which the streams there
- * pause; taken over the engines' own links it takes 30 ms, and the engine goes on with its steps.
+ * Load pattern: requests share long prefixes, and the engines that have one cached are busy or full. Prefilled again
+ * elsewhere, a prefix of 13,000 tokens takes an engine 200 ms in which the streams there pause; transferred over the
+ * engines' own links it takes 30 ms, and the engine goes on with its steps.
  */
 import {type Candidate, type PlacementContext, type Fetch} from './demand.js';
 import {type EndpointLoad, type LoadTracker} from './load.js';
 import {type PromptPart} from './prefix-cache.js';
-import {prefillMilliseconds, type ReadingSpeed} from './speed.js';
+import {prefillMilliseconds, type PrefillSpeed} from './speed.js';
 
-/** Less than this saved is not worth a transfer: about what it takes to begin one, and a margin for a wrong guess of what is kept. */
-const leastSavedMilliseconds = 10;
-/** What a transfer takes before its first byte. */
-const startMilliseconds = 2;
-/** Between availability zones a transfer takes so many times as long. */
+/**
+ * A transfer that saves less is not worth it: about the time it takes to begin one, and a margin for a wrong estimate
+ * of what is cached.
+ */
+const minSavedMilliseconds = 10;
+/** Time of a transfer before its first byte. */
+const transferStartMilliseconds = 2;
+/** Factor on the transfer time between availability zones. */
 const otherZoneFactor = 2;
 
-/** An engine that holds most of a prompt, in each zone. */
-export type Holder = {readonly id: string; readonly zone: string; readonly missingTokens: number; readonly running: number};
+/** The engine of a zone that has most of a prompt cached. */
+export type CacheHolder = {readonly id: string; readonly zone: string; readonly unavailableTokens: number; readonly running: number};
 
-/** The best holders of a prompt, one for each availability zone. */
-export function holdersOf(book: LoadTracker, parts: readonly PromptPart[], candidates: readonly Candidate[], {loads, tuning}: Pick<PlacementContext, 'tuning'> & {loads: readonly EndpointLoad[]}): readonly Holder[] {
+/** Engines with most of a prompt cached, one for each availability zone. */
+export function cacheHolders(tracker: LoadTracker, parts: readonly PromptPart[], candidates: readonly Candidate[], {loads, tuning}: Pick<PlacementContext, 'tuning'> & {
+	loads: readonly EndpointLoad[];
+}): readonly CacheHolder[] {
 	if (!tuning.fetches) {
 		return [];
 	}
 
-	const holders = new Map<string, Holder>();
+	const holders = new Map<string, CacheHolder>();
 	for (const [index, {id, zone}] of candidates.entries()) {
-		const holder = {id, zone, missingTokens: book.missing(id, parts), running: loads[index]!.running};
+		const holder = {id, zone, unavailableTokens: tracker.unavailableTokens(id, parts), running: loads[index]!.running};
 		const best = holders.get(zone);
-		if (best === undefined || holder.missingTokens < best.missingTokens || (holder.missingTokens === best.missingTokens && holder.running < best.running)) {
+		if (best === undefined || holder.unavailableTokens < best.unavailableTokens || (holder.unavailableTokens === best.unavailableTokens && holder.running < best.running)) {
 			holders.set(zone, holder);
 		}
 	}
@@ -36,22 +41,29 @@
 	return [...holders.values()];
 }
 
-/** False where a transfer can't save enough, since what is shared of the prompt, or lacks, is short. */
-export function isWorthFetching(parts: readonly PromptPart[], prefillTokens: number, speed: ReadingSpeed): boolean {
-	return prefillMilliseconds(speed, prefillTokens - (parts.at(-1)?.tokens ?? 0)) > leastSavedMilliseconds;
+/**
+ * False where a transfer can't save enough, since the shared part of the prompt, or what is not cached of it, is short.
+ */
+export function isWorthFetching(parts: readonly PromptPart[], uncachedTokens: number, speed: PrefillSpeed): boolean {
+	return prefillMilliseconds(speed, uncachedTokens - (parts.at(-1)?.tokens ?? 0)) > minSavedMilliseconds;
 }
 
-/** The transfer that spares an engine most time for a prompt of which it lacks so many tokens; undefined if none is worth it. */
-export function chooseFetch(holders: readonly Holder[], {id, zone}: Candidate, {prefillTokens, speed, tokensPerMillisecond}: {prefillTokens: number; speed: ReadingSpeed; tokensPerMillisecond: number}): Fetch | undefined {
+/**
+ * The transfer that saves an engine most time for a prompt with this many uncached tokens; undefined if none is worth
+ * it.
+ */
+export function chooseFetch(holders: readonly CacheHolder[], {id, zone}: Candidate, {uncachedTokens, speed, tokensPerMillisecond}: {
+	uncachedTokens: number; speed: PrefillSpeed; tokensPerMillisecond: number;
+}): Fetch | undefined {
 	let best: Fetch | undefined;
-	let most = leastSavedMilliseconds;
+	let mostSaved = minSavedMilliseconds;
 	for (const holder of holders) {
-		const tokens = prefillTokens - holder.missingTokens;
-		const milliseconds = startMilliseconds + (tokens / tokensPerMillisecond * (holder.zone === zone ? 1 : otherZoneFactor));
+		const tokens = uncachedTokens - holder.unavailableTokens;
+		const milliseconds = transferStartMilliseconds + (tokens / tokensPerMillisecond * (holder.zone === zone ? 1 : otherZoneFactor));
 		const saved = prefillMilliseconds(speed, tokens) - milliseconds;
-		if (holder.id !== id && saved > most) {
+		if (holder.id !== id && saved > mostSaved) {
 			best = {from: holder.id, tokens, milliseconds};
-			most = saved;
+			mostSaved = saved;
 		}
 	}
 
--- a/src/policy/dispatch/tuning.ts
+++ b/src/policy/dispatch/tuning.ts
@@ -1,22 +1,26 @@
-/** Weights of placement; costs are milliseconds of a caller's waiting. Each mechanism can be left out by one of them. */
+/**
+ * Weights of placement; costs are milliseconds of a caller's wait. Each mechanism can be switched off by one of them.
+ */
 export type Tuning = {
-	/** Whether engines take kept beginnings from each other. */
+	/** Whether engines fetch cached prefixes from each other. */
 	readonly fetches: boolean;
-	/** What fetching a token costs against reading it, beside the time it takes. */
+	/** Cost of fetching a token in relation to prefilling it, in addition to the time it takes. */
 	readonly fetchShare: number;
-	/** Whether longer backlogs are allowed the more urgent a request is; else all may send at the longest. */
+	/** Whether more urgent requests may be sent at longer backlogs; otherwise all may be sent at the longest. */
 	readonly ordersBacklogs: boolean;
-	/** Whether the less urgent hold back for what waits at other instances. */
+	/** Whether less urgent requests yield to those that wait at other instances. */
 	readonly heedsLines: boolean;
-	/** What an engine that is left to tight streams costs others, where the reading is long. */
+	/** Cost of an engine reserved for latency-critical streams to other requests whose prefill is long. */
 	readonly roomMilliseconds: number;
-	/** The part of an engine's slots that tight streams fill before room for them takes another. */
+	/**
+	 * Share of the slots of an engine that latency-critical streams fill before another engine is reserved for them.
+	 */
 	readonly tightFill: number;
-	/** What an engine outside the room of tight streams costs one of them. */
+	/** Cost of an engine that is not reserved for latency-critical streams to one of them. */
 	readonly outsideMilliseconds: number;
 };
 
-/** A second of cost outweighs all but a service at full load; sixty milliseconds outweigh a usual backlog. */
+/** A second of cost outweighs everything but a service at full load; sixty milliseconds outweigh a usual backlog. */
 export const defaultTuning: Tuning = {
 	fetches: true,
 	fetchShare: 0.5,
--- a/src/policy/dispatch/waiting-queue.ts
+++ b/src/policy/dispatch/waiting-queue.ts
@@ -2,101 +2,107 @@
 import {groupKeyOf} from './scan-results.js';
 
 /**
- * Load pattern: demand above what the endpoints can do. Served in order of arrival, urgent requests
- * wait behind drafts, one workspace's burst holds up its rivals, and once the wait is longer than the
- * target, everyone is served late. The line is ordered by urgency, then those that can still be in time
- * before the others, then by how much of the service each workspace had lately, then by arrival; every
- * eighth place goes to whoever waited longest, so that nobody starves.
+ * Load pattern: demand above what the endpoints can do. In order of arrival, urgent requests would wait behind drafts,
+ * one workspace's burst would hold up the other workspaces, and once the wait is longer than the target, every request
+ * would be late. The queue is ordered by urgency, then requests that can still be in time before the others, then by
+ * how much of the service each workspace had recently, then by arrival. Every eighth scan starts with the request that
+ * has waited longest, so that none starves.
  *
- * A workspace that goes first does so in all its kinds of request. Failure: it sends many drafts, and for as long as these come, others'
- * confirmations get nothing at all. Whoever has used half of its time is therefore at risk, and goes before every less urgent kind, whoever sends it.
+ * A workspace that goes first does so with all its routes. If it sends many drafts, confirmations of other workspaces
+ * would get no place for as long as these come. A request that has used half of its time is therefore at risk, and goes
+ * before every less urgent route, of whichever workspace.
  */
 export type QueuedRequest = {
 	readonly id: string;
 	readonly workspace: string;
 	readonly service: string;
 	readonly urgency: UrgencyPair;
-	/** Tokens or other work that it asks for. */
+	/** Requested work, in tokens or another unit. */
 	readonly work: number;
 	readonly arrivedAt: number;
-	/** Started later than this it misses its target. */
+	/** A later start misses the target. */
 	readonly inTimeUntil: number;
-	/** After this it can't be answered any more. */
+	/** After this time the request can't be answered any more. */
 	readonly lastStartAt: number;
 };
 
-/** The part of a request's time after which it is at risk to get nothing. */
-const riskShare = 0.5;
+/** Share of a request's time after which it is at risk to end without a place. */
+const atRiskShare = 0.5;
 
-/** Whether a request is at risk to get nothing: from then on its kind alone decides whom it goes before. */
+/**
+ * Whether a request is at risk to end without a place: from then on its route alone decides which others it precedes.
+ */
 export function isAtRisk({arrivedAt, lastStartAt}: Pick<QueuedRequest, 'arrivedAt' | 'lastStartAt'>, now: number): boolean {
-	return now - arrivedAt > (lastStartAt - arrivedAt) * riskShare;
+	return now - arrivedAt > (lastStartAt - arrivedAt) * atRiskShare;
 }
 
-/** An eighth keeps the urgent at nearly their full share and lets the least urgent move. */
-const longestWaitingTurn = 8;
-/** What a workspace had is forgotten by half in about this time. */
-const memoryMilliseconds = 4000;
-/** The work that left the line is averaged over about a second: longer than the gaps between long prompts. */
-const rateMilliseconds = 1000;
+/**
+ * Scans of which one starts with the request that has waited longest. An eighth keeps urgent requests at nearly their
+ * full share and lets the least urgent proceed.
+ */
+const oldestFirstInterval = 8;
+/** Time in which the recorded usage of a workspace falls by half. */
+const usageHalfLifeMilliseconds = 4000;
+/** Placed work is averaged over about a second: longer than the gaps between long prompts. */
+const rateWindowMilliseconds = 1000;
 
-/** Those of one service and urgency together. */
-type Group = {readonly service: string; readonly urgency: UrgencyPair; readonly count: number; readonly work: number};
+/** Requests of one service and urgency together. */
+type QueueGroup = {readonly service: string; readonly urgency: UrgencyPair; readonly count: number; readonly work: number};
 
-/** A pure value: who waits, and what each workspace had lately. */
+/** Waiting requests, and the recent usage of each workspace; time is passed in with each call. */
 export class WaitingQueue {
 	static create(): WaitingQueue {
 		return new WaitingQueue();
 	}
 
-	readonly #waiting = new Map<string, QueuedRequest>();
-	/** How many wait of each group and what they ask for, kept as they come and go: a refusal asks for it again and again. */
-	readonly #groups = new Map<string, Group>();
-	readonly #had = new Map<string, {work: number; at: number}>();
-	readonly #started = new Map<string, {work: number; at: number}>();
-	#turn = 0;
+	readonly #queued = new Map<string, QueuedRequest>();
+	/** Count and work of each group, updated as requests come and go, since every refusal asks for them. */
+	readonly #groups = new Map<string, QueueGroup>();
+	readonly #usage = new Map<string, {work: number; at: number}>();
+	readonly #placedWork = new Map<string, {work: number; at: number}>();
+	#scanCount = 0;
 
 	get size(): number {
-		return this.#waiting.size;
+		return this.#queued.size;
 	}
 
 	add(waiting: QueuedRequest): void {
 		this.remove(waiting.id);
-		this.#waiting.set(waiting.id, waiting);
+		this.#queued.set(waiting.id, waiting);
 		this.#count(waiting, 1);
 	}
 
 	remove(id: string): boolean {
-		const waiting = this.#waiting.get(id);
+		const waiting = this.#queued.get(id);
 		if (waiting === undefined) {
 			return false;
 		}
 
-		this.#waiting.delete(id);
+		this.#queued.delete(id);
 		this.#count(waiting, -1);
 		return true;
 	}
 
-	/** A workspace's request was placed. */
+	/** Records that a request of a workspace was placed. */
 	charge({workspace, service, work}: Pick<QueuedRequest, 'workspace' | 'service' | 'work'>, now: number): void {
-		this.#had.set(workspace, {work: this.#recentWork(workspace, now) + work, at: now});
-		this.#started.set(service, {work: this.#recentlyStarted(service, now) + work, at: now});
+		this.#usage.set(workspace, {work: this.#recentUsage(workspace, now) + work, at: now});
+		this.#placedWork.set(service, {work: this.#recentlyPlacedWork(service, now) + work, at: now});
 	}
 
-	/** Work that a service's requests were placed with lately, for each millisecond. */
+	/** Work of a service's requests that were placed recently, per millisecond. */
 	startedWorkRate(service: string, now: number): number {
-		return this.#recentlyStarted(service, now) / rateMilliseconds;
+		return this.#recentlyPlacedWork(service, now) / rateWindowMilliseconds;
 	}
 
-	/** Those that can't be started in time any more. */
+	/** Requests that can't be started in time any more. */
 	expired(now: number): QueuedRequest[] {
-		return [...this.#waiting.values()].filter(({lastStartAt}) => now > lastStartAt);
+		return [...this.#queued.values()].filter(({lastStartAt}) => now > lastStartAt);
 	}
 
-	/** Of the least urgent the one that came last. */
+	/** The last to arrive of the least urgent requests. */
 	last(): QueuedRequest | undefined {
 		let last: QueuedRequest | undefined;
-		for (const waiting of this.#waiting.values()) {
+		for (const waiting of this.#queued.values()) {
 			const order = last === undefined ? 1 : (compareUrgency(waiting.urgency, last.urgency) || waiting.arrivedAt - last.arrivedAt);
 			last = order >= 0 ? waiting : last;
 		}
@@ -104,18 +110,18 @@
 		return last;
 	}
 
-	/** Everyone, in the order in which they should be tried now. */
+	/** All requests, in the order in which a scan tries them. */
 	ordered(now: number): QueuedRequest[] {
-		const waiting = [...this.#waiting.values()];
-		const recent = new Map(waiting.map(({workspace}) => [workspace, this.#recentWork(workspace, now)]));
+		const waiting = [...this.#queued.values()];
+		const recent = new Map(waiting.map(({workspace}) => [workspace, this.#recentUsage(workspace, now)]));
 		waiting.sort((left, right) => compareUrgency(left.urgency, right.urgency)
 			|| Number(now > left.inTimeUntil) - Number(now > right.inTimeUntil)
 			|| (recent.get(left.workspace) ?? 0) - (recent.get(right.workspace) ?? 0)
 			|| left.arrivedAt - right.arrivedAt);
-		const all = putAtRiskFirst(waiting, now);
-		this.#turn += 1;
-		if (this.#turn % longestWaitingTurn === 0 && all.length > 1) {
-			const oldest = longestWaiting(all);
+		const all = moveAtRiskForward(waiting, now);
+		this.#scanCount += 1;
+		if (this.#scanCount % oldestFirstInterval === 0 && all.length > 1) {
+			const oldest = oldestRequest(all);
 			return [oldest, ...all.filter(one => one !== oldest)];
 		}
 
@@ -123,8 +129,9 @@
 	}
 
 	/**
-	 * What of a service would be tried before one of this urgency: how many, and their work together. A less urgent kind is not, whoever
-	 * sends it: it steps back before the request would get nothing.
+	 * Requests of a service that would be tried before one of this urgency: their number and total work. Those of a
+	 * less urgent route don't count, of whichever workspace: they step back before the request would end without a
+	 * place.
 	 */
 	ahead(service: string, urgency: UrgencyPair): {readonly count: number; readonly work: number} {
 		let count = 0;
@@ -139,7 +146,9 @@
 		return {count, work};
 	}
 
-	/** One more or one less of its group; a group of none is gone, so that sums of its work don't drift. */
+	/**
+	 * Adds one request to its group or removes it; an empty group is deleted, so that the sums of its work don't drift.
+	 */
 	#count(waiting: QueuedRequest, change: 1 | -1): void {
 		const key = groupKeyOf(waiting);
 		const {service, urgency, work} = waiting;
@@ -151,18 +160,18 @@
 		}
 	}
 
-	#recentlyStarted(service: string, now: number): number {
-		const held = this.#started.get(service);
-		return held === undefined ? 0 : held.work * Math.exp((held.at - now) / rateMilliseconds);
+	#recentlyPlacedWork(service: string, now: number): number {
+		const held = this.#placedWork.get(service);
+		return held === undefined ? 0 : held.work * Math.exp((held.at - now) / rateWindowMilliseconds);
 	}
 
-	#recentWork(workspace: string, now: number): number {
-		const held = this.#had.get(workspace);
-		return held === undefined ? 0 : held.work * (0.5 ** ((now - held.at) / memoryMilliseconds));
+	#recentUsage(workspace: string, now: number): number {
+		const held = this.#usage.get(workspace);
+		return held === undefined ? 0 : held.work * (0.5 ** ((now - held.at) / usageHalfLifeMilliseconds));
 	}
 }
 
-function longestWaiting(all: readonly QueuedRequest[]): QueuedRequest {
+function oldestRequest(all: readonly QueuedRequest[]): QueuedRequest {
 	let oldest = all[0]!;
 	for (const waiting of all) {
 		oldest = waiting.arrivedAt < oldest.arrivedAt ? waiting : oldest;
@@ -171,19 +180,22 @@
 	return oldest;
 }
 
-/** Moves whoever is at risk before the first of a less urgent kind, and nobody back; those moved keep their order among their kind. */
-function putAtRiskFirst(all: readonly QueuedRequest[], now: number): readonly QueuedRequest[] {
+/**
+ * Moves requests at risk before the first one of a less urgent route, and none back; those moved keep their order
+ * within their route.
+ */
+function moveAtRiskForward(ordered: readonly QueuedRequest[], now: number): readonly QueuedRequest[] {
 	let leastUrgent = -Infinity;
 	const moved: QueuedRequest[] = [];
 	const others: QueuedRequest[] = [];
-	for (const waiting of all) {
+	for (const waiting of ordered) {
 		const {route} = waiting.urgency;
 		(route < leastUrgent && isAtRisk(waiting, now) ? moved : others).push(waiting);
 		leastUrgent = Math.max(leastUrgent, route);
 	}
 
 	if (moved.length === 0) {
-		return all;
+		return ordered;
 	}
 
 	moved.sort((left, right) => left.urgency.route - right.urgency.route);
--- a/test/policy/dispatch.test.ts
+++ b/test/policy/dispatch.test.ts
@@ -4,8 +4,8 @@
 import {type ZoneName} from '../../src/model/index.js';
 import {type UrgencyPair} from '../../src/routing/index.js';
 import {
-	availability, type Candidate, sendProbability, choosePlace, createEndpointHealth, createReadingSpeed, decodeLoad, defaultTuning, type Demand, encodeLoad, inHashOrder, learnReadingSpeed, LoadTracker,
-	QueueReporter, type LoadEvent, PartMemory, PeerQueues, RetryShare, retryAfterWithoutTable, runId, stepEndpointHealth, type QueuedRequest, WaitingQueue,
+	availability, type Candidate, sendProbability, choosePlace, createEndpointHealth, createPrefillSpeed, decodeLoad, defaultTuning, type Demand, encodeLoad, inHashOrder, learnPrefillSpeed, LoadTracker,
+	QueueReporter, type LoadEvent, PrefixCache, PeerQueues, RetryShare, retryAfterWithoutTable, runId, stepEndpointHealth, type QueuedRequest, WaitingQueue,
 } from '../../src/policy/dispatch/index.js';
 
 const zone = 'zone-a' as ZoneName;
@@ -127,17 +127,17 @@
 
 tap.test('the pace is learned under load: what disturbs a sample does not drag it down', async t => {
 	fc.assert(fc.property(fc.integer({min: 40, max: 300}), fc.array(fc.tuple(fc.integer({min: 2000, max: 12_000}), fc.integer({min: 0, max: 9})), {minLength: 150, maxLength: 200}), (pace, samples) => {
-		let speed = createReadingSpeed();
+		let speed = createPrefillSpeed();
 		for (const [tokens, luck] of samples) {
 			// Three in ten samples met work that nobody told of.
 			const disturbed = luck < 3 ? 3 : 1;
-			speed = learnReadingSpeed(speed, {tokens, milliseconds: tokens / pace * disturbed, isFromRest: false});
+			speed = learnPrefillSpeed(speed, {tokens, milliseconds: tokens / pace * disturbed, isFromIdle: false});
 		}
 
 		return speed.tokensPerMillisecond > pace * 0.7 && speed.tokensPerMillisecond < pace * 1.35;
 	}), {seed: 11, numRuns: 30});
-	const short = learnReadingSpeed(createReadingSpeed(), {tokens: 100, milliseconds: 60, isFromRest: true});
-	t.equal(short.tokensPerMillisecond, createReadingSpeed().tokensPerMillisecond);
+	const short = learnPrefillSpeed(createPrefillSpeed(), {tokens: 100, milliseconds: 60, isFromIdle: true});
+	t.equal(short.tokensPerMillisecond, createPrefillSpeed().tokensPerMillisecond);
 });
 
 // An engine reads two prompts side by side, so that the second one's first event follows the first one's
@@ -222,14 +222,14 @@
 });
 
 tap.test('a part helps only if all before it are held, and the least recently used goes first', async t => {
-	const memory = PartMemory.create(4000);
+	const memory = PrefixCache.create(4000);
 	const [first, second, third] = [{id: 1, tokens: 1000}, {id: 2, tokens: 1000}, {id: 3, tokens: 1000}];
 	memory.use([first, second]);
-	t.equal(memory.unread([first, second, third]), 1000);
-	t.equal(memory.unread([third, first]), 2000);
+	t.equal(memory.uncachedTokens([first, second, third]), 1000);
+	t.equal(memory.uncachedTokens([third, first]), 2000);
 	memory.use([third]);
 	memory.use([{id: 4, tokens: 1000}]);
-	t.equal(memory.unread([first]), 1000, 'the oldest went');
+	t.equal(memory.uncachedTokens([first]), 1000, 'the oldest went');
 });
 
 // An endpoint fails four in ten while one in seven is usual for its service: it is set aside. One that
@@ -357,7 +357,7 @@
 	book.step({type: 'placed', run: {id: 'b/1', owner: 'b', endpoint: 'e', service: 'models', prefillTokens: 9200, isLatencyCritical: false, parts}}, 0);
 	book.setCacheCapacity('e', 400_000);
 	book.step({type: 'placed', run: {id: 'b/2', owner: 'b', endpoint: 'e', service: 'models', prefillTokens: 9200, isLatencyCritical: false, parts}}, 10);
-	t.equal(book.unread('e', prompt(1, 2)), 2900, 'only its own part');
+	t.equal(book.uncachedTokens('e', prompt(1, 2)), 2900, 'only its own part');
 });
 
 function readOnce(book: LoadTracker, endpoint: string, parts: Demand['parts'], now: number): void {
@@ -423,14 +423,14 @@
 
 // All instances start anew, and one has read an engine's list of what it keeps.
 tap.test('what an engine says it keeps is believed, and what is on its way there stays', async t => {
-	const memory = PartMemory.create(100_000);
+	const memory = PrefixCache.create(100_000);
 	memory.use([{id: 1, tokens: 10}, {id: 2, tokens: 20}]);
-	memory.noteRead([{id: 1, tokens: 10}]);
+	memory.markPrefilled([{id: 1, tokens: 10}]);
 	memory.replace([{id: 5, tokens: 50}]);
-	t.equal(memory.missing([{id: 5, tokens: 50}]), 0);
-	t.equal(memory.unread([{id: 1, tokens: 10}]), 10, 'the engine has dropped it');
-	t.equal(memory.unread([{id: 2, tokens: 20}]), 0, 'it is on its way');
-	t.equal(memory.missing([{id: 2, tokens: 20}]), 20);
+	t.equal(memory.unavailableTokens([{id: 5, tokens: 50}]), 0);
+	t.equal(memory.uncachedTokens([{id: 1, tokens: 10}]), 10, 'the engine has dropped it');
+	t.equal(memory.uncachedTokens([{id: 2, tokens: 20}]), 0, 'it is on its way');
+	t.equal(memory.unavailableTokens([{id: 2, tokens: 20}]), 20);
 });
 
 tap.test('weights for a measurement are checked', async t => {
