--- a/test/policy/dispatch.test.ts
+++ b/test/policy/dispatch.test.ts
@@ -4,8 +4,8 @@
 import {type ZoneName} from '../../src/model/index.js';
 import {type UrgencyPair} from '../../src/routing/index.js';
 import {
-	availability, type Candidate, sendProbability, choosePlace, createEndpointHealth, createPrefillSpeed, decodeLoad, defaultTuning, type Demand, encodeLoad, inHashOrder, learnPrefillSpeed, LoadTracker,
-	QueueReporter, type LoadEvent, PrefixCache, PeerQueues, RetryShare, retryAfterWithoutTable, runId, stepEndpointHealth, type QueuedRequest, WaitingQueue,
+	availability, type Candidate, sendProbability, choosePlace, createEndpointHealth, createPrefillSpeed, decodeLoad, defaultTuning, type Demand, encodeLoad, inHashOrder, learnPrefillSpeed,
+	LoadTracker, QueueReporter, type LoadEvent, PrefixCache, PeerQueues, RetryShare, retryAfterWithoutTable, runId, stepEndpointHealth, type QueuedRequest, WaitingQueue,
 } from '../../src/policy/dispatch/index.js';
 
 const zone = 'zone-a' as ZoneName;
@@ -18,28 +18,29 @@
 
 function demand(more: Partial<Demand> = {}): Demand {
 	return {
-		service: 'models', urgency: 2, urgencies: {most: 1, least: 2}, targetMilliseconds: 600, parts: [], isLatencyCritical: false, maxPauseMilliseconds: 500, strictestPauseMilliseconds: 120, waitedMilliseconds: 0, elapsedMilliseconds: 0, isOutranked: false, ...more,
+		service: 'models', urgency: 2, urgencies: {most: 1, least: 2}, targetMilliseconds: 600, parts: [], isLatencyCritical: false, maxPauseMilliseconds: 500, strictestPauseMilliseconds: 120,
+		waitedMilliseconds: 0, elapsedMilliseconds: 0, isOutranked: false, ...more,
 	};
 }
 
-function bookFor(all: readonly Candidate[]): LoadTracker {
-	const book = LoadTracker.create();
+function createTracker(all: readonly Candidate[]): LoadTracker {
+	const tracker = LoadTracker.create();
 	for (const {id} of all) {
-		book.setCacheCapacity(id, 400_000);
+		tracker.setCacheCapacity(id, 400_000);
 	}
 
-	return book;
+	return tracker;
 }
 
 let runs = 0;
-function place(book: LoadTracker, wanted: Demand, all: readonly Candidate[], now: number): string | undefined {
-	const choice = choosePlace(book, wanted, all, {zone, now, propagationMilliseconds, view, tuning: defaultTuning});
+function place(tracker: LoadTracker, wanted: Demand, all: readonly Candidate[], now: number): string | undefined {
+	const choice = choosePlace(tracker, wanted, all, {zone, now, propagationMilliseconds, view, tuning: defaultTuning});
 	if (choice.type !== 'place') {
 		return undefined;
 	}
 
 	runs += 1;
-	book.step({type: 'placed', run: {
+	tracker.step({type: 'placed', run: {
 		id: `run-${runs}`, owner: 'a', endpoint: choice.endpoint, service: wanted.service, prefillTokens: choice.prefillTokens, isLatencyCritical: wanted.isLatencyCritical, parts: wanted.parts,
 	}}, now);
 	return choice.endpoint;
@@ -49,169 +50,174 @@
 	return [{id: 1, tokens: 2500}, {id: 1000 + subject, tokens: 3800}, {id: 1_000_000 + own, tokens: 2900}];
 }
 
-// A burst of long prompts over many subjects. Placed without regard to what engines hold, each subject
-// is read on nearly every engine; kept together it is read on one or two.
-tap.test('prompts with a common beginning meet where it is held', async t => {
+// A burst of long prompts over many subjects. Placed without regard to cached prefixes, each subject is prefilled on
+// nearly every engine; with regard to them, on one or two.
+tap.test('prompts with a common prefix are placed where it is cached', async t => {
 	const all = candidates(10);
-	const book = bookFor(all);
-	const seen = new Map<number, Set<string>>();
+	const tracker = createTracker(all);
+	const endpointsOfSubject = new Map<number, Set<string>>();
 	for (let number = 0; number < 300; number++) {
 		const subject = number * 7 % 30;
-		// One at a time, each read before the next comes.
-		const endpoint = place(book, demand({parts: prompt(subject, number)}), all, number * 60)!;
-		book.step({type: 'first-event', id: `run-${runs}`}, (number * 60) + 30);
-		book.step({type: 'ended', id: `run-${runs}`}, (number * 60) + 50);
-		seen.set(subject, (seen.get(subject) ?? new Set()).add(endpoint));
+		// One at a time, each prefilled before the next one arrives.
+		const endpoint = place(tracker, demand({parts: prompt(subject, number)}), all, number * 60)!;
+		tracker.step({type: 'first-event', id: `run-${runs}`}, (number * 60) + 30);
+		tracker.step({type: 'ended', id: `run-${runs}`}, (number * 60) + 50);
+		endpointsOfSubject.set(subject, (endpointsOfSubject.get(subject) ?? new Set()).add(endpoint));
 	}
 
-	const mean = [...seen.values()].reduce((sum, endpoints) => sum + endpoints.size, 0) / seen.size;
+	const mean = [...endpointsOfSubject.values()].reduce((sum, endpoints) => sum + endpoints.size, 0) / endpointsOfSubject.size;
 	t.ok(mean <= 1.5, `${mean} endpoints a subject`);
 });
 
-// Long prompts come while streams with tight pauses run on some engines. A reader of long prompts
-// beside them would stretch every pause; while other engines have room, none comes there.
-tap.test('long prompts keep away from streams with tight pauses', async t => {
+// Long prompts arrive while latency-critical streams run on some engines. Prefill of long prompts beside them would
+// stretch every pause; while other engines have room, none is placed there.
+tap.test('long prompts are not placed beside latency-critical streams', async t => {
 	const all = candidates(8);
-	const book = bookFor(all);
-	const tight = new Set<string>();
+	const tracker = createTracker(all);
+	const criticalEndpoints = new Set<string>();
 	for (let number = 0; number < 8; number++) {
-		tight.add(place(book, demand({isLatencyCritical: true, urgency: 0, targetMilliseconds: 150, maxPauseMilliseconds: 120, parts: [{id: 500 + number, tokens: 400}]}), all, 0)!);
-		book.step({type: 'first-event', id: `run-${runs}`}, 0);
+		criticalEndpoints.add(place(tracker, demand({isLatencyCritical: true, urgency: 0, targetMilliseconds: 150, maxPauseMilliseconds: 120, parts: [{id: 500 + number, tokens: 400}]}), all, 0)!);
+		tracker.step({type: 'first-event', id: `run-${runs}`}, 0);
 	}
 
-	t.ok(tight.size <= 2, 'they share few endpoints');
+	t.ok(criticalEndpoints.size <= 2, 'they share few endpoints');
 	for (let number = 0; number < 6; number++) {
-		const endpoint = place(book, demand({parts: prompt(number, number)}), all, 10)!;
-		t.notOk(tight.has(endpoint));
+		const endpoint = place(tracker, demand({parts: prompt(number, number)}), all, 10)!;
+		t.notOk(criticalEndpoints.has(endpoint));
 	}
 });
 
-// A burst: more long prompts than the engines can read at once. What waits at an engine can't be
-// overtaken, so little is sent ahead; the urgent stream that comes then is placed at once.
-tap.test('in a burst the rest waits here, and an urgent stream does not', async t => {
+// A burst: more long prompts than the engines can prefill at once. What waits at an engine can't be overtaken, so
+// little is sent ahead, and an urgent stream that arrives then is placed at once.
+tap.test('in a burst the other requests wait in the queue, and an urgent stream does not', async t => {
 	const all = candidates(4);
-	const book = bookFor(all);
+	const tracker = createTracker(all);
 	let placed = 0;
 	for (let number = 0; number < 40; number++) {
-		placed += place(book, demand({parts: prompt(number, number)}), all, 0) === undefined ? 0 : 1;
+		placed += place(tracker, demand({parts: prompt(number, number)}), all, 0) === undefined ? 0 : 1;
 	}
 
 	t.ok(placed <= 12, `${placed} placed`);
 	for (const {id} of all) {
-		t.ok(book.load(id, 0).backlogMilliseconds < 300);
+		t.ok(tracker.load(id, 0).backlogMilliseconds < 300);
 	}
 
-	t.ok(place(book, demand({isLatencyCritical: true, urgency: 0, targetMilliseconds: 150, maxPauseMilliseconds: 120, parts: [{id: 500, tokens: 400}]}), all, 0));
+	t.ok(place(tracker, demand({isLatencyCritical: true, urgency: 0, targetMilliseconds: 150, maxPauseMilliseconds: 120, parts: [{id: 500, tokens: 400}]}), all, 0));
 });
 
-tap.test('an endpoint without a free slot takes no more, and one with fewer runs comes first', async t => {
+tap.test('an endpoint without a free slot gets no request, and the one with fewer runs is preferred', async t => {
 	const all = candidates(2, 2);
-	const book = bookFor(all);
+	const tracker = createTracker(all);
 	const small = demand({parts: [{id: 7, tokens: 10}], targetMilliseconds: 100});
-	const endpoints = [0, 1, 2, 3].map(() => place(book, small, all, 0));
+	const endpoints = [0, 1, 2, 3].map(() => place(tracker, small, all, 0));
 	t.equal(new Set(endpoints).size, 2);
-	t.equal(choosePlace(book, small, all, {zone, now: 0, propagationMilliseconds, view, tuning: defaultTuning}).type, 'wait');
+	t.equal(choosePlace(tracker, small, all, {zone, now: 0, propagationMilliseconds, view, tuning: defaultTuning}).type, 'wait');
 });
 
-tap.test('what another instance placed counts until it ends, or until that instance is lost', async t => {
+tap.test('a run that another instance placed counts until it ends or that instance is lost', async t => {
 	const [only] = candidates(1);
-	const book = bookFor([only!]);
+	const tracker = createTracker([only!]);
 	const run = {id: 'b/1', owner: 'b', endpoint: only!.id, service: 'models', prefillTokens: 5000, isLatencyCritical: true, parts: []};
-	book.step({type: 'placed', run}, 0);
-	book.step({type: 'placed', run}, 0);
-	t.match(book.load(only!.id, 0), {running: 1, latencyCriticalRuns: 1});
-	t.ok(book.load(only!.id, 0).backlogMilliseconds > 20);
-	book.step({type: 'owner-lost', owner: 'b'}, 5);
-	t.match(book.load(only!.id, 5), {running: 0, latencyCriticalRuns: 0, backlogMilliseconds: 0});
+	tracker.step({type: 'placed', run}, 0);
+	tracker.step({type: 'placed', run}, 0);
+	t.match(tracker.load(only!.id, 0), {running: 1, latencyCriticalRuns: 1});
+	t.ok(tracker.load(only!.id, 0).backlogMilliseconds > 20);
+	tracker.step({type: 'owner-lost', owner: 'b'}, 5);
+	t.match(tracker.load(only!.id, 5), {running: 0, latencyCriticalRuns: 0, backlogMilliseconds: 0});
 });
 
-tap.test('the pace is learned under load: what disturbs a sample does not drag it down', async t => {
-	fc.assert(fc.property(fc.integer({min: 40, max: 300}), fc.array(fc.tuple(fc.integer({min: 2000, max: 12_000}), fc.integer({min: 0, max: 9})), {minLength: 150, maxLength: 200}), (pace, samples) => {
+tap.test('the prefill rate is learned under load, and disturbed samples do not lower it', async t => {
+	fc.assert(fc.property(fc.integer({min: 40, max: 300}), fc.array(fc.tuple(fc.integer({min: 2000, max: 12_000}), fc.integer({min: 0, max: 9})), {minLength: 150, maxLength: 200}), (rate, samples) => {
 		let speed = createPrefillSpeed();
 		for (const [tokens, luck] of samples) {
-			// Three in ten samples met work that nobody told of.
+			// Three in ten samples contain work that was not reported.
 			const disturbed = luck < 3 ? 3 : 1;
-			speed = learnPrefillSpeed(speed, {tokens, milliseconds: tokens / pace * disturbed, isFromIdle: false});
+			speed = learnPrefillSpeed(speed, {tokens, milliseconds: tokens / rate * disturbed, isFromIdle: false});
 		}
 
-		return speed.tokensPerMillisecond > pace * 0.7 && speed.tokensPerMillisecond < pace * 1.35;
+		return speed.tokensPerMillisecond > rate * 0.7 && speed.tokensPerMillisecond < rate * 1.35;
 	}), {seed: 11, numRuns: 30});
 	const short = learnPrefillSpeed(createPrefillSpeed(), {tokens: 100, milliseconds: 60, isFromIdle: true});
 	t.equal(short.tokensPerMillisecond, createPrefillSpeed().tokensPerMillisecond);
 });
 
-// An engine reads two prompts side by side, so that the second one's first event follows the first one's
-// at once. Taken one by one, the second looks read at thousands of tokens a millisecond, and backlogs
-// half as long as they are; callers then wait behind prompts that were sent where they had no room.
-tap.test('prompts that are read side by side do not make the engine look faster', async t => {
-	const book = LoadTracker.create();
-	const pace = 70;
+// An engine prefills two prompts side by side, so that the first event of the second follows that of the first at once.
+// Taken one by one, the second looks prefilled at thousands of tokens a millisecond, and backlogs look half as long as
+// they are; callers then wait behind prompts that were sent where they had no room.
+tap.test('prompts that are prefilled side by side do not raise the estimated rate', async t => {
+	const tracker = LoadTracker.create();
+	const rate = 70;
 	const base = 45;
 	for (let round = 0; round < 120; round++) {
 		const at = round * 1000;
 		const tokens = [3000 + (round % 7 * 500), 2500 + (round % 5 * 700)];
-		const whole = base + ((tokens[0]! + tokens[1]!) / pace);
+		const whole = base + ((tokens[0]! + tokens[1]!) / rate);
 		for (const [index, prefillTokens] of tokens.entries()) {
-			book.step({type: 'placed', run: {id: `a/${round}-${index}`, owner: 'a', endpoint: 'e', service: 'models', prefillTokens, isLatencyCritical: false, parts: []}}, at + index);
+			tracker.step({type: 'placed', run: {id: `a/${round}-${index}`, owner: 'a', endpoint: 'e', service: 'models', prefillTokens, isLatencyCritical: false, parts: []}}, at + index);
 		}
 
-		book.step({type: 'first-event', id: `a/${round}-0`}, at + whole - 3);
-		book.step({type: 'first-event', id: `a/${round}-1`}, at + whole);
-		book.step({type: 'ended', id: `a/${round}-0`}, at + whole + 100);
-		book.step({type: 'ended', id: `a/${round}-1`}, at + whole + 100);
+		tracker.step({type: 'first-event', id: `a/${round}-0`}, at + whole - 3);
+		tracker.step({type: 'first-event', id: `a/${round}-1`}, at + whole);
+		tracker.step({type: 'ended', id: `a/${round}-0`}, at + whole + 100);
+		tracker.step({type: 'ended', id: `a/${round}-1`}, at + whole + 100);
 	}
 
-	const {tokensPerMillisecond} = book.speed('models');
-	t.ok(tokensPerMillisecond > pace * 0.85 && tokensPerMillisecond < pace * 1.15, `${tokensPerMillisecond} tokens a millisecond`);
+	const {tokensPerMillisecond} = tracker.speed('models');
+	t.ok(tokensPerMillisecond > rate * 0.85 && tokensPerMillisecond < rate * 1.15, `${tokensPerMillisecond} tokens a millisecond`);
 });
 
-// At the edge of overload the engine that holds a beginning is behind. Requests that tire of waiting have
-// it read again elsewhere, which doubles the work of all and makes the overload last; their callers, and
-// those behind them, are then all late. At full load they wait; with idle engines they do not.
-tap.test('a long beginning is not read again while all engines are busy reading', async t => {
+// At the edge of overload the engine that has a prefix cached is behind. If requests stop waiting for it, the prefix is
+// prefilled again elsewhere, which doubles the work and makes the overload last; their callers, and those behind them,
+// are then all late. At full load requests wait; with idle engines they do not.
+tap.test('a long prefix is not prefilled again while all engines are busy with prefill', async t => {
 	const all = candidates(6);
-	const book = bookFor(all);
-	const holder = place(book, demand({parts: prompt(1, 0)}), all, 0)!;
-	book.step({type: 'first-event', id: `run-${runs}`}, 80);
-	// Reading has taken all of the engines' last seconds; the holder alone has a backlog now.
-	const held = (id: string, now: number): string => `${id}-${now}`;
+	const tracker = createTracker(all);
+	const holder = place(tracker, demand({parts: prompt(1, 0)}), all, 0)!;
+	tracker.step({type: 'first-event', id: `run-${runs}`}, 80);
+	// Prefill has taken all of the last seconds of the engines; only the holder has a backlog now.
+	const loadId = (id: string, now: number): string => `${id}-${now}`;
 	for (let now = 100; now <= 4000; now += 100) {
 		for (const {id} of all) {
-			book.step({type: 'placed', run: {id: held(id, now), owner: 'b', endpoint: id, service: 'models', prefillTokens: 9000, isLatencyCritical: false, parts: []}}, now);
-			book.step({type: 'first-event', id: held(id, now - 100)}, now + 1);
-			book.step({type: 'ended', id: held(id, now - 100)}, now + 1);
+			tracker.step({type: 'placed', run: {id: loadId(id, now), owner: 'b', endpoint: id, service: 'models', prefillTokens: 9000, isLatencyCritical: false, parts: []}}, now);
+			tracker.step({type: 'first-event', id: loadId(id, now - 100)}, now + 1);
+			tracker.step({type: 'ended', id: loadId(id, now - 100)}, now + 1);
 		}
 	}
 
 	for (const {id} of all) {
-		book.step({type: 'ended', id: held(id, 4000)}, 4000);
+		tracker.step({type: 'ended', id: loadId(id, 4000)}, 4000);
 	}
 
-	book.step({type: 'placed', run: {id: 'behind', owner: 'b', endpoint: holder, service: 'models', prefillTokens: 20_000, isLatencyCritical: false, parts: []}}, 4000);
+	tracker.step({type: 'placed', run: {id: 'behind', owner: 'b', endpoint: holder, service: 'models', prefillTokens: 20_000, isLatencyCritical: false, parts: []}}, 4000);
 	const wanted = demand({parts: prompt(1, 1), waitedMilliseconds: 400, elapsedMilliseconds: 400, targetMilliseconds: 1200});
-	t.match(choosePlace(book, wanted, all, {zone, now: 4000, propagationMilliseconds, view, tuning: defaultTuning}), {type: 'wait', endpoint: holder});
-	t.match(choosePlace(book, {...wanted, waitedMilliseconds: 900, elapsedMilliseconds: 900}, all, {zone, now: 20_000, propagationMilliseconds, view, tuning: defaultTuning}), {type: 'place'}, 'after a rest nobody waits so long');
+	t.match(choosePlace(tracker, wanted, all, {zone, now: 4000, propagationMilliseconds, view, tuning: defaultTuning}), {type: 'wait', endpoint: holder});
+	t.match(choosePlace(tracker, {...wanted, waitedMilliseconds: 900, elapsedMilliseconds: 900}, all, {
+		zone, now: 20_000, propagationMilliseconds, view, tuning: defaultTuning,
+	}), {type: 'place'}, 'after an idle period no request waits that long');
 });
 
-tap.test('so many of several instances take one place together as it can read until they hear of each other', async t => {
+tap.test('instances together send as many requests to one place as it can prefill within a propagation delay', async t => {
 	const contention = {contenders: 20, searchIntervalMilliseconds: 16, prefillMilliseconds: 60, propagationMilliseconds: 50};
-	const chance = sendProbability(contention);
-	const expected = chance * contention.contenders * contention.propagationMilliseconds / contention.searchIntervalMilliseconds;
-	t.ok(expected > 2 && expected < 12, `${expected} sent in one reaction`);
+	const probability = sendProbability(contention);
+	const expected = probability * contention.contenders * contention.propagationMilliseconds / contention.searchIntervalMilliseconds;
+	t.ok(expected > 2 && expected < 12, `${expected} sent in one propagation delay`);
 	t.equal(sendProbability({...contention, contenders: 0}), 1);
-	t.ok(sendProbability({...contention, prefillMilliseconds: 10}) > chance, 'short prompts fill no engine');
+	t.ok(sendProbability({...contention, prefillMilliseconds: 10}) > probability, 'short prompts do not fill an engine');
 });
 
-tap.test('load travels in rows that name no owner, and what is no row is refused', async t => {
+tap.test('load is encoded in rows without an owner, and malformed rows are rejected', async t => {
 	const parts = fc.array(fc.record({id: fc.nat(0xFF_FF_FF_FF), tokens: fc.nat(50_000)}), {maxLength: 6});
 	const number = fc.nat(1_000_000);
 	const event: fc.Arbitrary<LoadEvent> = fc.oneof(
 		fc.record({type: fc.constant('placed' as const), run: fc.record({
-			id: number.map(value => runId('a', value)), owner: fc.constant('a'), endpoint: fc.constant('e-1'), service: fc.constant('models'), prefillTokens: fc.nat(50_000), isLatencyCritical: fc.boolean(), parts,
+			id: number.map(value => runId('a', value)), owner: fc.constant('a'), endpoint: fc.constant('e-1'), service: fc.constant('models'),
+			prefillTokens: fc.nat(50_000), isLatencyCritical: fc.boolean(), parts,
 		})}),
 		fc.record({type: fc.constant('first-event' as const), id: number.map(value => runId('a', value))}),
 		fc.record({type: fc.constant('ended' as const), id: number.map(value => runId('a', value))}),
-		fc.record({type: fc.constant('waiting' as const), owner: fc.constant('a'), service: fc.constant('models'), urgencies: fc.array(fc.record({route: fc.integer(), workspace: fc.option(fc.integer(), {nil: undefined}), count: fc.nat()}), {maxLength: 4})}),
+		fc.record({type: fc.constant('waiting' as const), owner: fc.constant('a'), service: fc.constant('models'), urgencies: fc.array(fc.record({
+			route: fc.integer(), workspace: fc.option(fc.integer(), {nil: undefined}), count: fc.nat(),
+		}), {maxLength: 4})}),
 	);
 	fc.assert(fc.property(fc.array(event, {maxLength: 20}), events => {
 		t.same(decodeLoad(encodeLoad(events), 'a'), events);
@@ -221,20 +227,20 @@
 	}
 });
 
-tap.test('a part helps only if all before it are held, and the least recently used goes first', async t => {
-	const memory = PrefixCache.create(4000);
+tap.test('a part helps only if all before it are cached, and the least recently used is evicted first', async t => {
+	const cache = PrefixCache.create(4000);
 	const [first, second, third] = [{id: 1, tokens: 1000}, {id: 2, tokens: 1000}, {id: 3, tokens: 1000}];
-	memory.use([first, second]);
-	t.equal(memory.uncachedTokens([first, second, third]), 1000);
-	t.equal(memory.uncachedTokens([third, first]), 2000);
-	memory.use([third]);
-	memory.use([{id: 4, tokens: 1000}]);
-	t.equal(memory.uncachedTokens([first]), 1000, 'the oldest went');
+	cache.use([first, second]);
+	t.equal(cache.uncachedTokens([first, second, third]), 1000);
+	t.equal(cache.uncachedTokens([third, first]), 2000);
+	cache.use([third]);
+	cache.use([{id: 4, tokens: 1000}]);
+	t.equal(cache.uncachedTokens([first]), 1000, 'the oldest was evicted');
 });
 
-// An endpoint fails four in ten while one in seven is usual for its service: it is set aside. One that
-// fails as often as all others is not.
-tap.test('an endpoint is suspended for what is unusual for its service', async t => {
+// An endpoint that fails six requests in ten, where one in ten is usual for its service, is suspended. One that fails
+// no more often than usual is not.
+tap.test('an endpoint is suspended when its failure share is unusual for its service', async t => {
 	const run = (failures: number, usualShare: number): string => {
 		let health = createEndpointHealth();
 		for (let number = 0; number < 60; number++) {
@@ -251,11 +257,11 @@
 	t.equal(run(1, 0.14), 'open');
 });
 
-// Two lost connections in a row set an endpoint aside; one trial at a time asks whether it is back.
-tap.test('a crashed endpoint is left alone, tried once, and used again when it answers', async t => {
+// Two lost connections in a row suspend an endpoint; one trial request at a time shows whether it has recovered.
+tap.test('a crashed endpoint is suspended, gets one trial request, and is used again when it responds', async t => {
 	let health = createEndpointHealth();
 	health = stepEndpointHealth(health, {type: 'unreachable'}, 0);
-	t.equal(availability(health, 0), 'open', 'one lost answer is common');
+	t.equal(availability(health, 0), 'open', 'one lost response is common');
 	health = stepEndpointHealth(health, {type: 'unreachable'}, 10);
 	t.equal(availability(health, 11), 'suspended');
 	t.equal(availability(health, 700), 'trial');
@@ -271,7 +277,7 @@
 	return times.filter(time => now - time < 10_000).length;
 }
 
-tap.test('retries of all instances stay within the allowance, whatever the order of events', async t => {
+tap.test('retries of all instances stay within the allowance for any order of events', async t => {
 	const allowance = {ratio: 0.2, slack: 54, windowMilliseconds: 10_000};
 	fc.assert(fc.property(fc.integer({min: 1, max: 6}), fc.array(fc.tuple(fc.nat(5), fc.nat(200), fc.boolean()), {maxLength: 600}), (count, events) => {
 		const instances = Array.from({length: count}, () => RetryShare.create(allowance));
@@ -297,143 +303,144 @@
 	}), {seed: 5, numRuns: 60});
 });
 
-function waiting(id: string, more: Partial<QueuedRequest> = {}): QueuedRequest {
+function queuedRequest(id: string, more: Partial<QueuedRequest> = {}): QueuedRequest {
 	return {id, workspace: 'w', service: 's', urgency: {route: 1, workspace: undefined}, work: 1, arrivedAt: 0, inTimeUntil: 500, lastStartAt: 1000, ...more};
 }
 
-tap.test('the line goes by urgency, then by what a workspace had, then by arrival', async t => {
-	const line = WaitingQueue.create();
-	line.charge(waiting('before', {workspace: 'greedy', work: 1000}), 0);
-	line.add(waiting('late', {arrivedAt: 2}));
-	line.add(waiting('greedy', {workspace: 'greedy', arrivedAt: 0}));
-	line.add(waiting('urgent', {urgency: {route: 0, workspace: undefined}, arrivedAt: 3}));
-	line.add(waiting('early', {arrivedAt: 1}));
-	t.same(line.ordered(4).map(({id}) => id), ['urgent', 'early', 'late', 'greedy']);
-	t.same(line.expired(2000).length, 4);
+tap.test('the queue is ordered by urgency, then by recent usage of the workspace, then by arrival', async t => {
+	const queue = WaitingQueue.create();
+	queue.charge(queuedRequest('before', {workspace: 'greedy', work: 1000}), 0);
+	queue.add(queuedRequest('late', {arrivedAt: 2}));
+	queue.add(queuedRequest('greedy', {workspace: 'greedy', arrivedAt: 0}));
+	queue.add(queuedRequest('urgent', {urgency: {route: 0, workspace: undefined}, arrivedAt: 3}));
+	queue.add(queuedRequest('early', {arrivedAt: 1}));
+	t.same(queue.ordered(4).map(({id}) => id), ['urgent', 'early', 'late', 'greedy']);
+	t.same(queue.expired(2000).length, 4);
 });
 
-// A burst left a long line. Served by arrival alone, each of them is late when its turn comes, and so is
-// everyone after; those that can still be in time go first, and the late ones follow.
-tap.test('who can still be in time goes before who is late, within one urgency', async t => {
-	const line = WaitingQueue.create();
-	line.add(waiting('late', {arrivedAt: 0, inTimeUntil: 400}));
-	line.add(waiting('in-time', {arrivedAt: 300, inTimeUntil: 700}));
-	line.add(waiting('late-urgent', {urgency: {route: 0, workspace: undefined}, arrivedAt: 0, inTimeUntil: 100}));
-	t.same(line.ordered(500).map(({id}) => id), ['late-urgent', 'in-time', 'late']);
+// A burst left a long queue. In order of arrival each request is late when its turn comes, and so is every later one;
+// requests that can still be in time go first, and the late ones follow.
+tap.test('within one urgency, requests that can still be in time go before late ones', async t => {
+	const queue = WaitingQueue.create();
+	queue.add(queuedRequest('late', {arrivedAt: 0, inTimeUntil: 400}));
+	queue.add(queuedRequest('in-time', {arrivedAt: 300, inTimeUntil: 700}));
+	queue.add(queuedRequest('late-urgent', {urgency: {route: 0, workspace: undefined}, arrivedAt: 0, inTimeUntil: 100}));
+	t.same(queue.ordered(500).map(({id}) => id), ['late-urgent', 'in-time', 'late']);
 });
 
-tap.test('the rate at which work was started falls with time', async t => {
-	const line = WaitingQueue.create();
-	t.equal(line.startedWorkRate('s', 0), 0);
+tap.test('the rate of placed work decays with time', async t => {
+	const queue = WaitingQueue.create();
+	t.equal(queue.startedWorkRate('s', 0), 0);
 	for (let now = 0; now < 5000; now += 10) {
-		line.charge(waiting('x', {work: 500}), now);
+		queue.charge(queuedRequest('x', {work: 500}), now);
 	}
 
-	const rate = line.startedWorkRate('s', 5000);
+	const rate = queue.startedWorkRate('s', 5000);
 	t.ok(rate > 40 && rate < 60, `${rate} a millisecond of 50`);
-	t.ok(line.startedWorkRate('s', 9000) < 2);
+	t.ok(queue.startedWorkRate('s', 9000) < 2);
 });
 
 // An endless burst of urgent requests: the least urgent one still has its turn.
-tap.test('nobody starves in the line', async t => {
-	const line = WaitingQueue.create();
-	line.add(waiting('patient', {urgency: {route: 9, workspace: undefined}, arrivedAt: 0}));
+tap.test('no request starves in the queue', async t => {
+	const queue = WaitingQueue.create();
+	queue.add(queuedRequest('patient', {urgency: {route: 9, workspace: undefined}, arrivedAt: 0}));
 	let served = -1;
 	for (let turn = 0; turn < 20 && served === -1; turn++) {
-		line.add(waiting(`urgent-${turn}`, {urgency: {route: 0, workspace: undefined}, arrivedAt: turn + 1}));
-		const [first] = line.ordered(turn);
-		line.remove(first!.id);
+		queue.add(queuedRequest(`urgent-${turn}`, {urgency: {route: 0, workspace: undefined}, arrivedAt: turn + 1}));
+		const [first] = queue.ordered(turn);
+		queue.remove(first!.id);
 		served = first!.id === 'patient' ? turn : -1;
 	}
 
 	t.ok(served >= 0 && served <= 8);
 });
 
-// An instance that has just started hears of another's run before its own first request. It took the engine
-// to have no memory, for good, so that all that it placed read beginnings again that were kept there.
-tap.test('an engine whose runs were told before its memory was known keeps what it reads', async t => {
-	const book = LoadTracker.create();
+// An instance that has just started receives the report of another one's run before its own first request. If it took
+// the engine to have no memory from then on, all requests it places would have cached prefixes prefilled again.
+tap.test('an engine whose runs were reported before its memory was known caches what it prefills', async t => {
+	const tracker = LoadTracker.create();
 	const parts = prompt(1, 1);
-	book.step({type: 'placed', run: {id: 'b/1', owner: 'b', endpoint: 'e', service: 'models', prefillTokens: 9200, isLatencyCritical: false, parts}}, 0);
-	book.setCacheCapacity('e', 400_000);
-	book.step({type: 'placed', run: {id: 'b/2', owner: 'b', endpoint: 'e', service: 'models', prefillTokens: 9200, isLatencyCritical: false, parts}}, 10);
-	t.equal(book.uncachedTokens('e', prompt(1, 2)), 2900, 'only its own part');
+	tracker.step({type: 'placed', run: {id: 'b/1', owner: 'b', endpoint: 'e', service: 'models', prefillTokens: 9200, isLatencyCritical: false, parts}}, 0);
+	tracker.setCacheCapacity('e', 400_000);
+	tracker.step({type: 'placed', run: {id: 'b/2', owner: 'b', endpoint: 'e', service: 'models', prefillTokens: 9200, isLatencyCritical: false, parts}}, 10);
+	t.equal(tracker.uncachedTokens('e', prompt(1, 2)), 2900, 'only the part that is not shared');
 });
 
-function readOnce(book: LoadTracker, endpoint: string, parts: Demand['parts'], now: number): void {
+function prefillOnce(tracker: LoadTracker, endpoint: string, parts: Demand['parts'], now: number): void {
 	runs += 1;
-	book.step({type: 'placed', run: {id: `run-${runs}`, owner: 'a', endpoint, service: 'models', prefillTokens: 100, isLatencyCritical: false, parts}}, now);
-	book.step({type: 'first-event', id: `run-${runs}`}, now + 20);
-	book.step({type: 'ended', id: `run-${runs}`}, now + 30);
+	tracker.step({type: 'placed', run: {id: `run-${runs}`, owner: 'a', endpoint, service: 'models', prefillTokens: 100, isLatencyCritical: false, parts}}, now);
+	tracker.step({type: 'first-event', id: `run-${runs}`}, now + 20);
+	tracker.step({type: 'ended', id: `run-${runs}`}, now + 30);
 }
 
 const linkTokensPerMillisecond = 400;
 const withLinks = {zone, now: 1000, propagationMilliseconds, view, fetchTokensPerMillisecond: linkTokensPerMillisecond, tuning: defaultTuning};
 
-// The engine that holds a beginning is full. Its fellows read 6,300 tokens again, 70 ms in which all their streams
-// pause, though the engines' own links carry them in 20 ms.
-tap.test('a beginning that a full engine holds is fetched from it', async t => {
+// The engine that has a prefix cached is full. Other engines would prefill its 6,300 tokens again, 70 ms in which all
+// their streams pause, though the engines' own links transfer them in 20 ms.
+tap.test('a prefix that a full engine has cached is fetched from it', async t => {
 	const all = candidates(4, 2);
-	const book = bookFor(all);
-	readOnce(book, all[0]!.id, prompt(1, 1), 0);
+	const tracker = createTracker(all);
+	prefillOnce(tracker, all[0]!.id, prompt(1, 1), 0);
 	for (const index of [0, 1]) {
-		book.step({type: 'placed', run: {id: `b/${index}`, owner: 'b', endpoint: all[0]!.id, service: 'models', prefillTokens: 0, isLatencyCritical: false, parts: []}}, 100);
+		tracker.step({type: 'placed', run: {id: `b/${index}`, owner: 'b', endpoint: all[0]!.id, service: 'models', prefillTokens: 0, isLatencyCritical: false, parts: []}}, 100);
 	}
 
 	const wanted = demand({parts: prompt(1, 2), targetMilliseconds: 100, waitedMilliseconds: 500});
-	const choice = choosePlace(book, wanted, all, withLinks);
+	const choice = choosePlace(tracker, wanted, all, withLinks);
 	t.match(choice, {type: 'place', prefillTokens: 2900, fetch: {from: all[0]!.id, tokens: 6300}});
-	const without = choosePlace(book, wanted, all, {...withLinks, fetchTokensPerMillisecond: undefined});
-	t.not(without.type === 'place' && without.fetch !== undefined, true, 'engines that pass nothing to each other are not asked to');
-	const off = choosePlace(book, wanted, all, {...withLinks, tuning: {...defaultTuning, fetches: false}});
+	const without = choosePlace(tracker, wanted, all, {...withLinks, fetchTokensPerMillisecond: undefined});
+	t.not(without.type === 'place' && without.fetch !== undefined, true, 'no fetch is chosen for engines without cache transfers');
+	const off = choosePlace(tracker, wanted, all, {...withLinks, tuning: {...defaultTuning, fetches: false}});
 	t.not(off.type === 'place' && off.fetch !== undefined, true);
 });
 
-// A beginning was sent to an engine a moment ago and is not read yet. Another engine that asked for it would get nothing
-// and read it all, unforeseen.
-tap.test('nothing is fetched from an engine that has not read it yet', async t => {
+// A prefix was sent to an engine a moment ago and is not prefilled yet. Another engine that asked for it would get
+// nothing and prefill all of it, which was not predicted.
+tap.test('a prefix is not fetched from an engine that has not prefilled it yet', async t => {
 	const all = candidates(3, 1);
-	const book = bookFor(all);
-	book.step({type: 'placed', run: {id: 'b/1', owner: 'b', endpoint: all[0]!.id, service: 'models', prefillTokens: 9200, isLatencyCritical: false, parts: prompt(1, 1)}}, 990);
-	const early = choosePlace(book, demand({parts: prompt(1, 2), waitedMilliseconds: 5000, targetMilliseconds: 50}), all, withLinks);
+	const tracker = createTracker(all);
+	tracker.step({type: 'placed', run: {id: 'b/1', owner: 'b', endpoint: all[0]!.id, service: 'models', prefillTokens: 9200, isLatencyCritical: false, parts: prompt(1, 1)}}, 990);
+	const early = choosePlace(tracker, demand({parts: prompt(1, 2), waitedMilliseconds: 5000, targetMilliseconds: 50}), all, withLinks);
 	t.notMatch(early, {fetch: {from: all[0]!.id}});
-	book.step({type: 'first-event', id: 'b/1'}, 1100);
-	const later = choosePlace(book, demand({parts: prompt(1, 2), waitedMilliseconds: 5000, targetMilliseconds: 50}), all, {...withLinks, now: 1100});
+	tracker.step({type: 'first-event', id: 'b/1'}, 1100);
+	const later = choosePlace(tracker, demand({parts: prompt(1, 2), waitedMilliseconds: 5000, targetMilliseconds: 50}), all, {...withLinks, now: 1100});
 	t.match(later, {type: 'place', fetch: {from: all[0]!.id, tokens: 6300}});
 });
 
-// Twelve urgent streams with pauses of 250 ms run on one engine, and all engines have read a little. A prompt of 26,000
-// tokens there stops each of them for longer; it goes elsewhere even where that engine holds its beginning.
-tap.test('a long reading stays out of the room that tight streams need, a short one may enter', async t => {
+// Twelve urgent streams with pause limits of 250 ms run on one engine, and all engines have prefilled a little. A
+// prompt of 26,000 tokens there stops each stream for longer than that; it is placed elsewhere even if that engine has
+// its prefix cached.
+tap.test('a long prefill is not placed on an engine reserved for latency-critical streams, a short one may be', async t => {
 	const all = candidates(6);
-	const book = bookFor(all);
+	const tracker = createTracker(all);
 	for (let number = 0; number < 12; number++) {
-		const endpoint = place(book, demand({isLatencyCritical: true, urgency: 0, targetMilliseconds: 1200, maxPauseMilliseconds: 250, strictestPauseMilliseconds: 250, parts: [{id: 500 + number, tokens: 400}]}), all, number * 20);
-		t.equal(endpoint, all[0]!.id, 'they share the first of the order');
-		book.step({type: 'first-event', id: `run-${runs}`}, (number * 20) + 10);
+		const endpoint = place(tracker, demand({isLatencyCritical: true, urgency: 0, targetMilliseconds: 1200, maxPauseMilliseconds: 250, strictestPauseMilliseconds: 250, parts: [{id: 500 + number, tokens: 400}]}), all, number * 20);
+		t.equal(endpoint, all[0]!.id, 'they share the first engine in the fill order');
+		tracker.step({type: 'first-event', id: `run-${runs}`}, (number * 20) + 10);
 	}
 
-	book.step({type: 'kept', endpoint: all[0]!.id, parts: prompt(1, 1)}, 900);
+	tracker.step({type: 'kept', endpoint: all[0]!.id, parts: prompt(1, 1)}, 900);
 	const long = [...prompt(1, 1).slice(0, 2), {id: 77, tokens: 26_000}];
-	const choice = choosePlace(book, demand({parts: long, targetMilliseconds: 2000, strictestPauseMilliseconds: 250}), all, withLinks);
+	const choice = choosePlace(tracker, demand({parts: long, targetMilliseconds: 2000, strictestPauseMilliseconds: 250}), all, withLinks);
 	t.ok(choice.type === 'place' && choice.endpoint !== all[0]!.id);
-	const short = choosePlace(book, demand({parts: [...prompt(1, 1).slice(0, 2), {id: 78, tokens: 300}], targetMilliseconds: 2000, strictestPauseMilliseconds: 250}), all, withLinks);
+	const short = choosePlace(tracker, demand({parts: [...prompt(1, 1).slice(0, 2), {id: 78, tokens: 300}], targetMilliseconds: 2000, strictestPauseMilliseconds: 250}), all, withLinks);
 	t.match(short, {type: 'place', endpoint: all[0]!.id});
 });
 
-// All instances start anew, and one has read an engine's list of what it keeps.
-tap.test('what an engine says it keeps is believed, and what is on its way there stays', async t => {
-	const memory = PrefixCache.create(100_000);
-	memory.use([{id: 1, tokens: 10}, {id: 2, tokens: 20}]);
-	memory.markPrefilled([{id: 1, tokens: 10}]);
-	memory.replace([{id: 5, tokens: 50}]);
-	t.equal(memory.unavailableTokens([{id: 5, tokens: 50}]), 0);
-	t.equal(memory.uncachedTokens([{id: 1, tokens: 10}]), 10, 'the engine has dropped it');
-	t.equal(memory.uncachedTokens([{id: 2, tokens: 20}]), 0, 'it is on its way');
-	t.equal(memory.unavailableTokens([{id: 2, tokens: 20}]), 20);
+// All instances have restarted, and one has read from an engine which parts it has cached.
+tap.test('the parts that an engine reports as cached replace the model, and parts on their way there stay', async t => {
+	const cache = PrefixCache.create(100_000);
+	cache.use([{id: 1, tokens: 10}, {id: 2, tokens: 20}]);
+	cache.markPrefilled([{id: 1, tokens: 10}]);
+	cache.replace([{id: 5, tokens: 50}]);
+	t.equal(cache.unavailableTokens([{id: 5, tokens: 50}]), 0);
+	t.equal(cache.uncachedTokens([{id: 1, tokens: 10}]), 10, 'the engine has evicted it');
+	t.equal(cache.uncachedTokens([{id: 2, tokens: 20}]), 0, 'it is on its way');
+	t.equal(cache.unavailableTokens([{id: 2, tokens: 20}]), 20);
 });
 
-tap.test('weights for a measurement are checked', async t => {
+tap.test('weights of placement given as JSON are validated', async t => {
 	t.same(parseTuning(undefined), defaultTuning);
 	t.equal(parseTuning('{"fetches": false}').fetches, false);
 	t.same(parseTuning(JSON.stringify(defaultTuning)), defaultTuning, 'every weight can be set');
@@ -442,92 +449,95 @@
 	}
 });
 
-// All instances start while the store is down for some seconds. Callers were told to come back in 0.4 s, came back once into
-// the same outage, and were lost. Told to wait as long as it has lasted, most come back after its end.
-tap.test('callers come back after an outage of the store, not into it', async t => {
+// All instances start while the store is down for some seconds. A caller that is told to come back in 0.4 s comes back
+// once, into the same outage, and is lost. Told to wait about as long as the outage has lasted, most come back after
+// its end.
+tap.test('callers come back after an outage of the store, not during it', async t => {
 	const outage = 3500;
 	const arrivals = Array.from({length: 35}, (_, index) => index * 100);
 	const served = arrivals.filter(at => at + retryAfterWithoutTable(at) >= outage).length;
 	t.ok(served >= arrivals.length / 2, `${served} of ${arrivals.length}`);
-	t.ok(arrivals.filter(at => at + 400 >= outage).length < arrivals.length / 5, 'a fixed time brings few');
+	t.ok(arrivals.filter(at => at + 400 >= outage).length < arrivals.length / 5, 'with a fixed time, few come back after its end');
 	t.equal(retryAfterWithoutTable(0), 400, 'a usual start is over by then');
 	t.ok(retryAfterWithoutTable(60_000) <= 5000);
 });
 
-// A confirmation waits at one instance and a draft at another: the draft takes only what has nothing to read. Once the other
-// instance says that nothing waits, is lost, or has said nothing for a while, the draft's usual bound is back.
-tap.test('the less urgent leave places to what waits at another instance, as long as it is known to wait', async t => {
+// A confirmation waits at one instance and a draft at another: the draft is placed only where nothing is left to
+// prefill. Once the other instance reports that nothing waits, is lost, or has sent no report for a while, the usual
+// bound of the draft applies again.
+tap.test('less urgent requests yield to those at another instance for as long as these are known to wait', async t => {
 	const [first, second] = [{route: 1, workspace: 1}, {route: 2, workspace: 1}];
-	const lines = PeerQueues.create();
-	const tell = (now: number, urgencies: UrgencyPair[] = [first]): void => {
-		lines.update({type: 'waiting', owner: 'b', service: 'models', urgencies: urgencies.map(urgency => ({...urgency, count: 3}))}, now);
+	const peerQueues = PeerQueues.create();
+	const report = (now: number, urgencies: UrgencyPair[] = [first]): void => {
+		peerQueues.update({type: 'waiting', owner: 'b', service: 'models', urgencies: urgencies.map(urgency => ({...urgency, count: 3}))}, now);
 	};
 
-	tell(0);
-	t.ok(lines.hasMoreUrgent('models', second, 200));
-	t.notOk(lines.hasMoreUrgent('models', first, 200), 'not among equals');
-	t.notOk(lines.hasMoreUrgent('orders', second, 200), 'not at another service');
-	t.same([lines.ahead('models', first, 200), lines.ahead('models', second, 200), lines.ahead('models', {route: 0, workspace: 1}, 200)], [3, 3, 0], 'equals count, the less urgent don\'t');
-	tell(200, [{route: 2, workspace: 0}]);
-	t.notOk(lines.hasMoreUrgent('models', first, 210), 'not for a less urgent route');
-	t.ok(lines.hasMoreUrgent('models', second, 210));
-	tell(220);
-	t.notOk(lines.hasMoreUrgent('models', second, 600), 'word that is old');
-	t.equal(lines.ahead('models', second, 600), 0);
-	tell(700);
-	tell(800, []);
-	t.notOk(lines.hasMoreUrgent('models', second, 810), 'nothing waits any more');
-	tell(900);
-	lines.forget('b');
-	t.notOk(lines.hasMoreUrgent('models', second, 910), 'the instance is lost');
+	report(0);
+	t.ok(peerQueues.hasMoreUrgent('models', second, 200));
+	t.notOk(peerQueues.hasMoreUrgent('models', first, 200), 'not among equals');
+	t.notOk(peerQueues.hasMoreUrgent('orders', second, 200), 'not at another service');
+	t.same([peerQueues.ahead('models', first, 200), peerQueues.ahead('models', second, 200), peerQueues.ahead('models', {route: 0, workspace: 1}, 200)], [3, 3, 0], 'equals count, the less urgent don\'t');
+	report(200, [{route: 2, workspace: 0}]);
+	t.notOk(peerQueues.hasMoreUrgent('models', first, 210), 'not for a less urgent route');
+	t.ok(peerQueues.hasMoreUrgent('models', second, 210));
+	report(220);
+	t.notOk(peerQueues.hasMoreUrgent('models', second, 600), 'an expired report');
+	t.equal(peerQueues.ahead('models', second, 600), 0);
+	report(700);
+	report(800, []);
+	t.notOk(peerQueues.hasMoreUrgent('models', second, 810), 'nothing waits any more');
+	report(900);
+	peerQueues.forget('b');
+	t.notOk(peerQueues.hasMoreUrgent('models', second, 910), 'the instance is lost');
 });
 
-tap.test('an outranked request goes to an engine that has been idle for a while, and leaves slots', async t => {
-	const book = LoadTracker.create();
+tap.test('an outranked request is placed on an engine that has been idle for a while, and leaves slots free', async t => {
+	const tracker = LoadTracker.create();
 	const [engine] = candidates(1);
 	const draft = demand({isOutranked: true, parts: [{id: 1, tokens: 2000}]});
-	const wants = (asked: typeof draft, now: number): string => choosePlace(book, asked, [engine!], {zone, now, propagationMilliseconds, view, tuning: defaultTuning}).type;
-	t.equal(wants(draft, 0), 'place', 'never used');
-	book.step({type: 'placed', run: {id: 'b/1', owner: 'b', endpoint: engine!.id, service: 'models', prefillTokens: 1000, isLatencyCritical: false, parts: []}}, 0);
-	t.equal(wants(draft, 0), 'wait');
-	t.equal(wants({...draft, isOutranked: false}, 0), 'place', 'a short backlog is no hindrance otherwise');
-	book.step({type: 'first-event', id: 'b/1'}, 20);
-	t.equal(wants(draft, 20 + propagationMilliseconds), 'wait', 'others may not have heard yet that it is free');
-	t.equal(wants(draft, 20 + (2 * propagationMilliseconds)), 'place');
+	const decide = (asked: typeof draft, now: number): string => choosePlace(tracker, asked, [engine!], {zone, now, propagationMilliseconds, view, tuning: defaultTuning}).type;
+	t.equal(decide(draft, 0), 'place', 'never used');
+	tracker.step({type: 'placed', run: {id: 'b/1', owner: 'b', endpoint: engine!.id, service: 'models', prefillTokens: 1000, isLatencyCritical: false, parts: []}}, 0);
+	t.equal(decide(draft, 0), 'wait');
+	t.equal(decide({...draft, isOutranked: false}, 0), 'place', 'a short backlog is no hindrance otherwise');
+	tracker.step({type: 'first-event', id: 'b/1'}, 20);
+	t.equal(decide(draft, 20 + propagationMilliseconds), 'wait', 'other instances may not have the report yet that it is idle');
+	t.equal(decide(draft, 20 + (2 * propagationMilliseconds)), 'place');
 	for (let number = 2; number < engine!.slots; number++) {
-		book.step({type: 'placed', run: {id: `b/${number}`, owner: 'b', endpoint: engine!.id, service: 'models', prefillTokens: 0, isLatencyCritical: false, parts: []}}, 30);
-		book.step({type: 'first-event', id: `b/${number}`}, 30);
+		tracker.step({type: 'placed', run: {id: `b/${number}`, owner: 'b', endpoint: engine!.id, service: 'models', prefillTokens: 0, isLatencyCritical: false, parts: []}}, 30);
+		tracker.step({type: 'first-event', id: `b/${number}`}, 30);
 	}
 
-	t.equal(wants(draft, 200), 'wait', 'one slot of eight is left');
-	t.equal(wants({...draft, isOutranked: false}, 200), 'place');
+	t.equal(decide(draft, 200), 'wait', 'one slot in eight is left to others');
+	t.equal(decide({...draft, isOutranked: false}, 200), 'place');
 });
 
-// Guards against drafts of workspaces that go first, sent elsewhere for as long as they come, while a confirmation gets nothing.
-tap.test('a request at risk is told by its kind alone, and less urgent kinds hold back for it, whoever sends them', async t => {
-	const teller = QueueReporter.create('a');
-	const lines = PeerQueues.create();
+// Guards against drafts of a workspace that goes first being sent elsewhere for as long as they arrive, while a
+// confirmation of another workspace gets no place.
+tap.test('a request at risk is reported by its route alone, and less urgent routes of any workspace yield to it', async t => {
+	const reporter = QueueReporter.create('a');
+	const peerQueues = PeerQueues.create();
 	const waiting = {service: 'models', urgency: {route: 1, workspace: 1}, arrivedAt: 0, lastStartAt: 2000};
 	const draftThatGoesFirst = {route: 2, workspace: 0};
-	const hear = (now: number): void => {
-		for (const event of teller.events([waiting], now)) {
-			lines.update({...event, owner: 'a'}, now);
+	const receive = (now: number): void => {
+		for (const event of reporter.events([waiting], now)) {
+			peerQueues.update({...event, owner: 'a'}, now);
 		}
 	};
 
-	hear(500);
-	t.notOk(lines.hasMoreUrgent('models', draftThatGoesFirst, 500), 'it has most of its time left');
-	hear(1100);
-	t.ok(lines.hasMoreUrgent('models', draftThatGoesFirst, 1100));
-	t.notOk(lines.hasMoreUrgent('models', {route: 1, workspace: 1}, 1100), 'not among equals');
-	t.notOk(lines.hasMoreUrgent('models', {route: 0, workspace: 2}, 1100), 'not for a more urgent kind');
+	receive(500);
+	t.notOk(peerQueues.hasMoreUrgent('models', draftThatGoesFirst, 500), 'it has most of its time left');
+	receive(1100);
+	t.ok(peerQueues.hasMoreUrgent('models', draftThatGoesFirst, 1100));
+	t.notOk(peerQueues.hasMoreUrgent('models', {route: 1, workspace: 1}, 1100), 'not among equals');
+	t.notOk(peerQueues.hasMoreUrgent('models', {route: 0, workspace: 2}, 1100), 'not for a more urgent route');
 });
 
-// Guards against the order of workspaces that is lost, and against a kind that gets nothing by it.
-tap.test('a workspace that goes first does so in all kinds, until another kind is at risk', async t => {
-	const line = WaitingQueue.create();
+// Guards against losing the order of workspaces, and against a route that gets no place because of that order.
+tap.test('a workspace that goes first does so with all routes, until another route is at risk', async t => {
+	const queue = WaitingQueue.create();
 	const add = (id: string, urgency: UrgencyPair, arrivedAt: number): void => {
-		line.add({id, workspace: id, service: 'models', urgency, work: 1, arrivedAt, inTimeUntil: arrivedAt + 300, lastStartAt: arrivedAt + 2000});
+		queue.add({id, workspace: id, service: 'models', urgency, work: 1, arrivedAt, inTimeUntil: arrivedAt + 300, lastStartAt: arrivedAt + 2000});
 	};
 
 	add('their confirmation', {route: 1, workspace: 1}, 0);
@@ -535,41 +545,42 @@
 	add('their draft', {route: 2, workspace: 1}, 6);
 	add('first draft', {route: 2, workspace: 0}, 7);
 	add('first confirmation', {route: 1, workspace: 0}, 8);
-	const order = (now: number): string[] => line.ordered(now).map(({id}) => id);
+	const order = (now: number): string[] => queue.ordered(now).map(({id}) => id);
 	t.same(order(100), ['first confirmation', 'first draft', 'their ticket', 'their confirmation', 'their draft']);
 	t.same(order(1003), ['first confirmation', 'their confirmation', 'first draft', 'their ticket', 'their draft'], 'the confirmation alone is at risk');
-	t.same(order(1500), ['their ticket', 'first confirmation', 'their confirmation', 'first draft', 'their draft'], 'the more urgent kind first among those at risk');
-	t.equal(line.ahead('models', {route: 1, workspace: 1}).count, 3, 'a less urgent kind steps back in time');
+	t.same(order(1500), ['their ticket', 'first confirmation', 'their confirmation', 'first draft', 'their draft'], 'among requests at risk the more urgent route goes first');
+	t.equal(queue.ahead('models', {route: 1, workspace: 1}).count, 3, 'a less urgent route steps back in time');
 });
 
-// Each message costs every other instance time: a line is told of a few times a second, and its end once.
-tap.test('an instance tells of its line now and then, and once of its end', async t => {
-	const teller = QueueReporter.create('a');
+// Each message costs every other instance time: a queue is reported a few times a second, and its end once.
+tap.test('an instance reports its queue at intervals, and its end once', async t => {
+	const reporter = QueueReporter.create('a');
 	const waiting = [{service: 'models', urgency: {route: 1, workspace: undefined}, arrivedAt: 0, lastStartAt: 2000}, {service: 'models', urgency: {route: 1, workspace: undefined}, arrivedAt: 20, lastStartAt: 22_000}];
-	t.same(teller.events(waiting, 30), [], 'a short wait is usual');
-	t.same(teller.events(waiting, 50), [{type: 'waiting', owner: 'a', service: 'models', urgencies: [{route: 1, workspace: undefined, count: 1}]}]);
-	t.same(teller.events(waiting, 100), []);
-	t.same(teller.events([], 110), [{type: 'waiting', owner: 'a', service: 'models', urgencies: []}]);
-	t.same(teller.events([], 120), []);
+	t.same(reporter.events(waiting, 30), [], 'a short wait is usual');
+	t.same(reporter.events(waiting, 50), [{type: 'waiting', owner: 'a', service: 'models', urgencies: [{route: 1, workspace: undefined, count: 1}]}]);
+	t.same(reporter.events(waiting, 100), []);
+	t.same(reporter.events([], 110), [{type: 'waiting', owner: 'a', service: 'models', urgencies: []}]);
+	t.same(reporter.events([], 120), []);
 });
 
-// Thirty instances before 38 engines: half of the most urgent streams came late by their pauses (2083 of 4187), since engines beside them read
-// without rest. What may wait to be read beside a tight stream had one and a half reactions as its floor, 93 ms there, so that the next
-// prompt was always there before the last was read.
-tap.test('little waits to be read beside a tight stream, however late instances hear of each other', async t => {
+// Thirty instances send to 38 engines: half of the most urgent streams exceeded their pause limits (2083 of 4187),
+// since the engines beside them prefilled without a break. The backlog beside a latency-critical stream had a lower
+// bound of one and a half propagation delays, 93 ms there, so that the next prompt always arrived before the last one
+// was prefilled.
+tap.test('the backlog beside a latency-critical stream stays short, however long the propagation delay is', async t => {
 	const late = {zone, view, tuning: defaultTuning, propagationMilliseconds: 62};
-	const unread = (beside: boolean, tokens: number): string => {
-		const book = LoadTracker.create();
+	const choiceWith = (hasCriticalStream: boolean, tokens: number): string => {
+		const tracker = LoadTracker.create();
 		const [engine] = candidates(1);
 		const {id} = engine!;
-		book.step({type: 'placed', run: {id: 'a/1', owner: 'a', endpoint: id, service: 'models', prefillTokens: 0, isLatencyCritical: beside, parts: []}}, 0);
-		book.step({type: 'first-event', id: 'a/1'}, 1);
-		book.step({type: 'placed', run: {id: 'a/2', owner: 'a', endpoint: id, service: 'models', prefillTokens: tokens, isLatencyCritical: false, parts: []}}, 100);
-		return choosePlace(book, demand({parts: [{id: 1, tokens: 2000}], strictestPauseMilliseconds: 200}), [engine!], {...late, now: 100}).type;
+		tracker.step({type: 'placed', run: {id: 'a/1', owner: 'a', endpoint: id, service: 'models', prefillTokens: 0, isLatencyCritical: hasCriticalStream, parts: []}}, 0);
+		tracker.step({type: 'first-event', id: 'a/1'}, 1);
+		tracker.step({type: 'placed', run: {id: 'a/2', owner: 'a', endpoint: id, service: 'models', prefillTokens: tokens, isLatencyCritical: false, parts: []}}, 100);
+		return choosePlace(tracker, demand({parts: [{id: 1, tokens: 2000}], strictestPauseMilliseconds: 200}), [engine!], {...late, now: 100}).type;
 	};
 
 	const {tokensPerMillisecond} = LoadTracker.create().speed('models');
-	t.equal(unread(true, tokensPerMillisecond * 60), 'wait', '60 ms to read, and streams that may pause for 200');
-	t.equal(unread(true, tokensPerMillisecond * 20), 'place');
-	t.equal(unread(false, tokensPerMillisecond * 60), 'place', 'nobody is harmed where none runs');
+	t.equal(choiceWith(true, tokensPerMillisecond * 60), 'wait', '60 ms of prefill, and streams with a pause limit of 200 ms');
+	t.equal(choiceWith(true, tokensPerMillisecond * 20), 'place');
+	t.equal(choiceWith(false, tokensPerMillisecond * 60), 'place', 'no stream is delayed where none runs');
 });
