--- a/src/policy/dispatch/contention.ts
+++ b/src/policy/dispatch/contention.ts
@@ -2,9 +2,9 @@
 
 /**
  * Limits how many requests of all instances together take a free place within one propagation delay, in multiples of
- * what the endpoint prefills in that time. Without the limit, once the backlog of an endpoint falls below its bound,
- * every instance with a waiting request sends one before it receives the load reports of the others; first events then
- * come after five times the predicted time, and urgent requests wait behind them.
+ * what the endpoint prefills in that time; a random draw selects them. Without the limit, once the backlog of an
+ * endpoint falls below its bound, every instance with a waiting request sends one before it receives the load reports
+ * of the others; first events then come after five times the predicted time, and urgent requests wait behind them.
  */
 const sendFactor = 2.5;
 
--- a/src/policy/dispatch/engine-cost.ts
+++ b/src/policy/dispatch/engine-cost.ts
@@ -64,8 +64,8 @@
 const safePauseShare = 0.5;
 const exceededPauseWeight = 4;
 /**
- * Time beyond this share of the target counts as lateness and is weighted; being early gains less than being late
- * costs.
+ * Expected time beyond this share of the target counts as lateness; its weight makes being late cost more than being
+ * early gains.
  */
 const latenessTargetShare = 0.7;
 const latenessWeight = 3;
@@ -90,7 +90,7 @@
 	readonly startRange: number;
 	/** Share of the fleet's requests that is visible to this instance, 0 to 1. */
 	readonly visibleShare: number;
-	/** Random draw of the request that selects the engine at which a latency-critical stream starts. */
+	/** Random draw, from a hash of the request, that selects the engine at which a latency-critical stream starts. */
 	readonly startOffset: number;
 	/** Engines with most of the prompt cached; computed for the first engine that would have to prefill much. */
 	readonly holders: () => readonly CacheHolder[];
--- a/src/policy/dispatch/load.ts
+++ b/src/policy/dispatch/load.ts
@@ -183,15 +183,15 @@
 		this.#drop(run => now - run.placedAt > runTimeoutMilliseconds, now);
 	}
 
-	/** Sets the cache memory of an endpoint's engine. */
+	/** Sets the cache memory of an endpoint's engine, in tokens. */
 	setCacheCapacity(endpoint: string, memoryTokens: number): void {
 		this.#endpoint(endpoint).cache.setCapacity(memoryTokens);
 	}
 
 	/**
-	 * The state of an endpoint; a new one has an unlimited cache until its memory is known. Another instance may report
-	 * a run, or what an engine has cached, before this one knows the memory of the engine. Without the unlimited cache,
-	 * the engine would from then on be taken to cache nothing.
+	 * The state of an endpoint; a new one has an unlimited cache until the memory of its engine is known. Another
+	 * instance may report a run, or an engine what it has cached, before this instance knows that memory; with a cache
+	 * of no size the engine would from then on be taken to cache nothing.
 	 */
 	#endpoint(endpoint: string): EndpointState {
 		const state = this.#endpoints.get(endpoint) ?? createEndpointState();
@@ -265,9 +265,10 @@
 	}
 
 	/**
-	 * Pending prefill, less what the engine has done of it by now. A prompt stays pending until its first event is
-	 * here, though the engine has gone on to the next by then. If all of it still counted, the engine would be taken
-	 * for busy for as long as a first event is in transit, and would idle between two prompts while requests wait.
+	 * Pending prefill, less what the engine has done of it by now. A prompt stays pending until its first event
+	 * arrives, when the engine has already gone on to the next. If all of it counted until then, the engine would be
+	 * taken for busy for as long as a first event is in transit, and would idle between two prompts while requests
+	 * wait.
 	 */
 	#backlogMilliseconds(state: EndpointState, now: number): number {
 		return state.pending.size === 0 ? 0 : Math.max(0, prefillMilliseconds(this.speed(state.service), state.pendingTokens) - (now - state.prefillStartedAt));
--- a/src/policy/dispatch/peer-queues.ts
+++ b/src/policy/dispatch/peer-queues.ts
@@ -60,8 +60,8 @@
 	/**
 	 * Whether a request waits at another instance that is more urgent by workspace and by route, or that is at risk and
 	 * of a more urgent route. Where workspace and route disagree, a draft of a workspace that goes first does not hold
-	 * up a confirmation of one that doesn't: the order of backlogs is enough there, and yielding would leave a kind of
-	 * request without any place.
+	 * up a confirmation of one that doesn't: the order of backlogs is enough there, and yielding would leave a route
+	 * without any place.
 	 */
 	hasMoreUrgent(service: string, urgency: UrgencyPair, now: number): boolean {
 		for (const {urgencies, receivedAt} of this.#reports.get(service)?.values() ?? []) {
@@ -86,7 +86,7 @@
 	}
 }
 
-/** Compares two urgencies; one without a workspace counts by its route alone. */
+/** Whether `other` goes before `urgency`; one without a workspace counts by its route alone. */
 function isMoreUrgent(other: UrgencyPair, urgency: UrgencyPair): boolean {
 	return other.workspace === undefined ? other.route < urgency.route : compareUrgency(other, urgency) < 0;
 }
--- a/src/policy/dispatch/waiting-queue.ts
+++ b/src/policy/dispatch/waiting-queue.ts
@@ -9,8 +9,8 @@
  * has waited longest, so that none starves.
  *
  * A workspace that goes first does so with all its routes. If it sends many drafts, confirmations of other workspaces
- * would get no place for as long as these come. A request that has used half of its time is therefore at risk, and goes
- * before every less urgent route, of whichever workspace.
+ * would get no place for as long as these drafts arrive. A request that has used half of its time is therefore at risk,
+ * and goes before every less urgent route of any workspace.
  */
 export type QueuedRequest = {
 	readonly id: string;
@@ -26,19 +26,20 @@
 	readonly lastStartAt: number;
 };
 
-/** Share of a request's time after which it is at risk to end without a place. */
+/** Share of a request's time after which it is at risk of ending without a place. */
 const atRiskShare = 0.5;
 
 /**
- * Whether a request is at risk to end without a place: from then on its route alone decides which others it precedes.
+ * Whether a request is at risk of ending without a place: from then on its route alone decides which others it
+ * precedes.
  */
 export function isAtRisk({arrivedAt, lastStartAt}: Pick<QueuedRequest, 'arrivedAt' | 'lastStartAt'>, now: number): boolean {
 	return now - arrivedAt > (lastStartAt - arrivedAt) * atRiskShare;
 }
 
 /**
- * Scans of which one starts with the request that has waited longest. An eighth keeps urgent requests at nearly their
- * full share and lets the least urgent proceed.
+ * One scan in this many starts with the request that has waited longest: an eighth keeps urgent requests at nearly
+ * their full share and lets the least urgent proceed.
  */
 const oldestFirstInterval = 8;
 /** Time in which the recorded usage of a workspace falls by half. */
--- a/test/policy/dispatch.test.ts
+++ b/test/policy/dispatch.test.ts
@@ -563,10 +563,10 @@
 	t.same(reporter.events([], 120), []);
 });
 
-// Thirty instances send to 38 engines: half of the most urgent streams exceeded their pause limits (2083 of 4187),
-// since the engines beside them prefilled without a break. The backlog beside a latency-critical stream had a lower
-// bound of one and a half propagation delays, 93 ms there, so that the next prompt always arrived before the last one
-// was prefilled.
+// With thirty instances and 38 engines, half of the most urgent streams exceeded their pause limits (2083 of 4187),
+// since engines beside them prefilled without a break: the backlog allowed beside a latency-critical stream was at
+// least one and a half propagation delays, 93 ms there, so that the next prompt always arrived before the last one was
+// prefilled.
 tap.test('the backlog beside a latency-critical stream stays short, however long the propagation delay is', async t => {
 	const late = {zone, view, tuning: defaultTuning, propagationMilliseconds: 62};
 	const choiceWith = (hasCriticalStream: boolean, tokens: number): string => {
