--- a/test/policy/dispatch.test.ts
+++ b/test/policy/dispatch.test.ts
@@ -476,7 +476,9 @@
 	t.ok(peerQueues.hasMoreUrgent('models', second, 200));
 	t.notOk(peerQueues.hasMoreUrgent('models', first, 200), 'not among equals');
 	t.notOk(peerQueues.hasMoreUrgent('orders', second, 200), 'not at another service');
-	t.same([peerQueues.ahead('models', first, 200), peerQueues.ahead('models', second, 200), peerQueues.ahead('models', {route: 0, workspace: 1}, 200)], [3, 3, 0], 'equals count, the less urgent don\'t');
+	t.same([
+		peerQueues.ahead('models', first, 200), peerQueues.ahead('models', second, 200), peerQueues.ahead('models', {route: 0, workspace: 1}, 200),
+	], [3, 3, 0], 'equals count, the less urgent don\'t');
 	report(200, [{route: 2, workspace: 0}]);
 	t.notOk(peerQueues.hasMoreUrgent('models', first, 210), 'not for a less urgent route');
 	t.ok(peerQueues.hasMoreUrgent('models', second, 210));
