--- a/src/gateway/attempt-state.ts
+++ b/src/gateway/attempt-state.ts
@@ -5,20 +5,23 @@
 import {EventSplitter} from './event-splitter.js';
 import {type ResponseMetadata, type RawHeaders, type RequestCodec} from './types.js';
 
-/** Beyond prediction and target by this, silence counts against an endpoint though the request stays there. */
-const silenceMilliseconds = 400;
+/**
+ * An endpoint that is silent for this much longer than three times the expected time is reported as unreachable, even if the
+ * request stays there.
+ */
+const silenceMarginMilliseconds = 400;
 
 /** How an attempt ended. */
 export type Outcome
 	= | {readonly type: 'done'}
 		| {readonly type: 'left'}
 		| {readonly type: 'expired'}
-		| {readonly type: 'failed'; readonly verdict: Verdict; readonly reason: string; readonly isUnsent?: boolean; readonly endpointAnswer?: HeldAnswer | undefined};
+		| {readonly type: 'failed'; readonly verdict: Verdict; readonly reason: string; readonly isUnsent?: boolean; readonly endpointResponse?: BufferedResponse | undefined};
 
-/** An endpoint's own whole failure, which goes to the caller if nobody else is asked. */
-export type HeldAnswer = {readonly status: number; readonly headers: RawHeaders; readonly body: Uint8Array};
+/** An endpoint's complete error response, which is sent to the caller if the request is not retried. */
+export type BufferedResponse = {readonly status: number; readonly headers: RawHeaders; readonly body: Uint8Array};
 
-type FollowerOptions = {
+type AttemptStateOptions = {
 	readonly attempt: Attempt;
 	readonly number: number;
 	readonly decision: Extract<Decision, {type: 'placed'}>;
@@ -27,10 +30,10 @@
 	readonly codec: RequestCodec;
 };
 
-/** What one sending has brought so far. */
-export class AttemptFollower {
-	static create(options: FollowerOptions): AttemptFollower {
-		return new AttemptFollower(options);
+/** What one attempt has received so far. */
+export class AttemptState {
+	static create(options: AttemptStateOptions): AttemptState {
+		return new AttemptState(options);
 	}
 
 	readonly attempt: Attempt;
@@ -39,53 +42,53 @@
 	readonly startedAt = performance.now();
 	readonly splitter = EventSplitter.create();
 	isStream: boolean;
-	isPassing = false;
-	isFailure = false;
+	isForwarding = false;
+	isServerError = false;
 	status = 0;
 	rawHeaders: RawHeaders = [];
 	firstEventAt: number | undefined;
 	lastEventAt: number | undefined;
 	longestPauseMilliseconds = 0;
 	events = 0;
-	/** When silence starts to count against the endpoint. */
+	/** When the endpoint's silence is reported as a failure. */
 	suspectAt: number | undefined;
-	heldBytes = 0;
+	bufferedBytes = 0;
 	readonly #requestId: string;
 	readonly #codec: RequestCodec;
-	#held: Uint8Array[] = [];
+	#buffered: Uint8Array[] = [];
 
-	private constructor(options: FollowerOptions) {
+	private constructor(options: AttemptStateOptions) {
 		this.attempt = options.attempt;
 		this.number = options.number;
 		this.decision = options.decision;
 		this.isStream = options.isStream;
 		this.#requestId = options.requestId;
 		this.#codec = options.codec;
-		this.suspectAt = this.startedAt + (options.decision.expectedMilliseconds * 3) + silenceMilliseconds;
+		this.suspectAt = this.startedAt + (options.decision.expectedMilliseconds * 3) + silenceMarginMilliseconds;
 	}
 
-	/** Takes the status line; an outcome means that what follows is not this request's answer. */
-	head({status, headers, rawHeaders}: Extract<AttemptEvent, {type: 'head'}>): Outcome | undefined {
-		const answer = this.#codec.readResponse(status, headers);
+	/** Handles the status line and headers; an outcome means that the response is not a valid one to this request. */
+	handleHead({status, headers, rawHeaders}: Extract<AttemptEvent, {type: 'head'}>): Outcome | undefined {
+		const response = this.#codec.readResponse(status, headers);
 		this.status = status;
 		this.rawHeaders = rawHeaders;
-		if (answer.isNotRun || answer.isMisdirected) {
-			return {type: 'failed', verdict: Verdict.notRun, reason: answer.isMisdirected ? 'other endpoint' : 'rejected'};
+		if (response.isNotRun || response.isMisdirected) {
+			return {type: 'failed', verdict: Verdict.notRun, reason: response.isMisdirected ? 'other endpoint' : 'rejected'};
 		}
 
-		const fault = faultOf(answer, this.#requestId);
-		if (fault !== undefined) {
-			return {type: 'failed', verdict: Verdict.mayHaveRun, reason: fault};
+		const reason = invalidReason(response, this.#requestId);
+		if (reason !== undefined) {
+			return {type: 'failed', verdict: Verdict.mayHaveRun, reason};
 		}
 
 		this.suspectAt = this.isStream ? this.suspectAt : undefined;
-		this.isFailure = status >= 500;
+		this.isServerError = status >= 500;
 		this.isStream &&= status >= 200 && status < 300;
 		return undefined;
 	}
 
-	/** An event of the stream came whole. */
-	event(now: number): void {
+	/** Records a complete event of the stream. */
+	recordEvent(now: number): void {
 		this.suspectAt = undefined;
 		this.firstEventAt ??= now;
 		this.longestPauseMilliseconds = Math.max(this.longestPauseMilliseconds, now - (this.lastEventAt ?? now));
@@ -93,30 +96,30 @@
 		this.events += 1;
 	}
 
-	hold(bytes: Uint8Array): void {
-		this.#held.push(bytes);
-		this.heldBytes += bytes.length;
+	buffer(bytes: Uint8Array): void {
+		this.#buffered.push(bytes);
+		this.bufferedBytes += bytes.length;
 	}
 
-	takeHeld(): Uint8Array {
-		const held = Buffer.concat(this.#held);
-		this.#held = [];
-		return held;
+	takeBuffered(): Uint8Array {
+		const buffered = Buffer.concat(this.#buffered);
+		this.#buffered = [];
+		return buffered;
 	}
 }
 
 /**
- * Failure: a late second answer, or another request's, arrives where this one's is due. Symptom: a
- * caller reads another caller's artwork. An answer that does not name this request is not passed on.
+ * Why a response must not be forwarded, if so. Without this check, a late second response or a response to another request
+ * could be returned to the wrong caller, so a response that does not name this request is not forwarded.
  */
-function faultOf(answer: ResponseMetadata, requestId: string): string | undefined {
-	if (answer.requestId !== undefined && answer.requestId !== requestId) {
+function invalidReason(response: ResponseMetadata, requestId: string): string | undefined {
+	if (response.requestId !== undefined && response.requestId !== requestId) {
 		return 'answer of another request';
 	}
 
-	if (!answer.isGenuine) {
+	if (!response.isGenuine) {
 		return 'no whole answer of the endpoint';
 	}
 
-	return answer.promisesNotRun ? 'a promise that the endpoint does not make good' : undefined;
+	return response.promisesNotRun ? 'a promise that the endpoint does not make good' : undefined;
 }
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -4,13 +4,13 @@
 import {watchConnection} from '../platform/index.js';
 import {type ConnectionPool} from './connection-pool.js';
 
-/** What one sending to one endpoint meets, in order. */
+/** Events of one attempt at one endpoint, in order. */
 export type AttemptEvent
 	= | {readonly type: 'head'; readonly status: number; readonly headers: IncomingHttpHeaders; readonly rawHeaders: readonly string[]}
 		| {readonly type: 'data'; readonly bytes: Uint8Array}
-	/** The answer is whole by its own framing. */
+	/** The response is complete by its own framing. */
 		| {readonly type: 'end'}
-	/** The connection broke, or never came about; `verdict` says whether the request may have run. */
+	/** The connection failed or was never established; `verdict` says whether the request may have run. */
 		| {readonly type: 'broken'; readonly verdict: VerdictType; readonly reason: string};
 
 export type AttemptOptions = {
@@ -24,29 +24,29 @@
 };
 
 /**
- * A connection comes about in a few milliseconds or its endpoint is gone: two lost opening packets
- * would take seconds. A third of a second leaves time for another endpoint.
+ * A connection is established within a few milliseconds or its endpoint is gone; two lost SYN packets would take seconds. This
+ * timeout leaves time for another endpoint.
  */
-const connectMilliseconds = 350;
+const connectTimeoutMilliseconds = 350;
 
-/** One sending. After `cancel` or the last event it tells nothing more. */
+/** One attempt to send a request to an endpoint. Emits no events after `cancel` or after its last event. */
 export class Attempt {
 	static start(options: AttemptOptions): Attempt {
 		return new Attempt(options);
 	}
 
 	readonly #options: AttemptOptions;
-	readonly #sent: ClientRequest;
+	readonly #request: ClientRequest;
 	readonly #connection: {readonly stood: boolean};
-	#answer: IncomingMessage | undefined;
-	#isOver = false;
+	#response: IncomingMessage | undefined;
+	#isFinished = false;
 	#isReset = false;
 	#socket: Socket | undefined;
 	#connectTimer: NodeJS.Timeout | undefined;
 
 	private constructor(options: AttemptOptions) {
 		this.#options = options;
-		this.#sent = httpRequest({
+		this.#request = httpRequest({
 			...splitAddress(options.address),
 			method: options.method,
 			path: options.path,
@@ -54,92 +54,92 @@
 			agent: options.connectionPool,
 			setHost: false,
 		});
-		this.#connection = watchConnection(this.#sent);
-		this.#watchConnecting();
-		this.#sent.once('socket', socket => {
+		this.#connection = watchConnection(this.#request);
+		this.#startConnectTimeout();
+		this.#request.once('socket', socket => {
 			this.#socket = socket;
-			// Before the parser hears of it, while the connection can still be asked.
+			// Runs before the HTTP parser sees the end, while the state of the connection can still be read.
 			socket.prependListener('end', this.#onSocketEnd);
 		});
-		this.#sent.on('error', (error: Error) => {
-			this.#break(error.message);
+		this.#request.on('error', (error: Error) => {
+			this.#fail(error.message);
 		});
-		this.#sent.once('response', answer => {
-			this.#receive(answer);
+		this.#request.once('response', response => {
+			this.#handleResponse(response);
 		});
-		this.#sent.end(options.body);
+		this.#request.end(options.body);
 	}
 
 	/** True once the request may have reached the endpoint. */
-	get hasLeft(): boolean {
+	get mayHaveReachedEndpoint(): boolean {
 		return this.#connection.stood;
 	}
 
-	/** Ends it; an endpoint drops the work when its connection closes. */
+	/** Cancels the attempt; an endpoint drops the work when its connection closes. */
 	cancel(): void {
-		this.#isOver = true;
+		this.#isFinished = true;
 		clearTimeout(this.#connectTimer);
-		this.#sent.destroy();
-		this.#answer?.destroy();
+		this.#request.destroy();
+		this.#response?.destroy();
 	}
 
 	pause(): void {
-		this.#answer?.pause();
+		this.#response?.pause();
 	}
 
 	resume(): void {
-		this.#answer?.resume();
+		this.#response?.resume();
 	}
 
-	#watchConnecting(): void {
+	#startConnectTimeout(): void {
 		this.#connectTimer = setTimeout(() => {
 			if (!this.#connection.stood) {
-				this.#sent.destroy(new Error(`no connection within ${connectMilliseconds} ms`));
+				this.#request.destroy(new Error(`no connection within ${connectTimeoutMilliseconds} ms`));
 			}
-		}, connectMilliseconds);
+		}, connectTimeoutMilliseconds);
 	}
 
-	#receive(answer: IncomingMessage): void {
+	#handleResponse(response: IncomingMessage): void {
 		clearTimeout(this.#connectTimer);
-		this.#answer = answer;
-		this.#tell({type: 'head', status: answer.statusCode ?? 0, headers: answer.headers, rawHeaders: answer.rawHeaders});
-		answer.on('data', (bytes: Uint8Array) => {
-			this.#tell({type: 'data', bytes});
+		this.#response = response;
+		this.#emit({type: 'head', status: response.statusCode ?? 0, headers: response.headers, rawHeaders: response.rawHeaders});
+		response.on('data', (bytes: Uint8Array) => {
+			this.#emit({type: 'data', bytes});
 		});
-		answer.on('error', (error: Error) => {
-			this.#break(error.message);
+		response.on('error', (error: Error) => {
+			this.#fail(error.message);
 		});
-		answer.on('close', () => {
-			this.#break('the connection closed before the end');
+		response.on('close', () => {
+			this.#fail('the connection closed before the end');
 		});
-		answer.once('end', () => {
+		response.once('end', () => {
 			this.#socket?.removeListener('end', this.#onSocketEnd);
-			// Node ends an answer that was cut off too, and tells so here.
-			if (answer.complete && !this.#isReset) {
-				this.#tell({type: 'end'});
-				this.#isOver = true;
+			// Node also emits `end` for a truncated response and marks it as incomplete.
+			if (response.complete && !this.#isReset) {
+				this.#emit({type: 'end'});
+				this.#isFinished = true;
 			}
 		});
 	}
 
 	/**
-	 * Failure: bytes and a reset are read in one turn, and libuv reports the reset as a plain end.
-	 * Symptom: an answer without a length that was cut off passes for whole. A connection that was
-	 * reset has no peer any more, one that was ended has.
+	 * If data and a reset are read in one turn of the event loop, libuv reports the reset as a plain end, and a truncated
+	 * response without a length would pass for complete. A reset connection has no remote address any more, one that was ended
+	 * has.
 	 */
 	readonly #onSocketEnd = (): void => {
 		this.#isReset = this.#socket !== undefined && this.#socket.remoteAddress === undefined;
 	};
 
-	#break(reason: string): void {
+	#fail(reason: string): void {
 		clearTimeout(this.#connectTimer);
-		this.#tell({type: 'broken', verdict: this.#connection.stood ? Verdict.mayHaveRun : Verdict.notRun, reason});
-		this.#isOver = true;
-		this.#sent.destroy();
+		this.#emit({type: 'broken', verdict: this.#connection.stood ? Verdict.mayHaveRun : Verdict.notRun, reason});
+		this.#isFinished = true;
+		this.#request.destroy();
 	}
 
-	#tell(event: AttemptEvent): void {
-		if (!this.#isOver) {
+	#emit(event: AttemptEvent): void {
+		if (!this.#isFinished) {
 			this.#options.onEvent(event);
 		}
 	}
--- a/src/gateway/caller.ts
+++ b/src/gateway/caller.ts
@@ -2,17 +2,17 @@
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {type RawHeaders} from './types.js';
 
-/** A caller that reads so little that this much waits for it holds up its endpoint's stream. */
-const largestUnsentBytes = 256 * 1024;
+/** With this much unsent data for a slow caller, the endpoint's stream is paused. */
+const maxUnsentBytes = 256 * 1024;
 
-/** What became of reading a caller's body. */
-export type BodyOutcome
+/** Result of reading a caller's body. */
+export type BodyResult
 	= | {readonly type: 'whole'; readonly body: Uint8Array | undefined}
 		| {readonly type: 'too-large'}
 		| {readonly type: 'left'};
 
-/** An answer of our own. */
-export type OwnAnswer = {
+/** A response that the gateway makes itself. */
+export type GatewayResponse = {
 	readonly status: number;
 	readonly message: string;
 	readonly headers: RawHeaders;
@@ -21,8 +21,8 @@
 };
 
 /**
- * The caller's side of one exchange. An answer that can't be ended whole is broken off by closing the
- * connection, so that its end never looks like one.
+ * The caller's side of one exchange. A response that can't be completed is aborted by closing the connection, so that the
+ * caller can't take it for complete.
  */
 export class Caller {
 	static create(request: IncomingMessage, response: ServerResponse): Caller {
@@ -37,16 +37,16 @@
 		this.#response = response;
 	}
 
-	get hasLeft(): boolean {
+	get hasDisconnected(): boolean {
 		return this.#response.destroyed && !this.#response.writableFinished;
 	}
 
-	get hasAnswer(): boolean {
+	get hasResponse(): boolean {
 		return this.#response.headersSent;
 	}
 
-	/** Calls once if the connection closes before the answer is out. */
-	onLeft(listener: () => void): void {
+	/** Calls the listener once if the connection closes before the response is sent. */
+	onDisconnect(listener: () => void): void {
 		this.#response.once('close', () => {
 			if (!this.#response.writableFinished) {
 				listener();
@@ -54,13 +54,13 @@
 		});
 	}
 
-	readBody(limitBytes: number): Promise<BodyOutcome> {
+	readBody(limitBytes: number): Promise<BodyResult> {
 		const request = this.#request;
 		return new Promise(resolve => {
-			const parts: Uint8Array[] = [];
+			const chunks: Uint8Array[] = [];
 			let length = 0;
-			request.on('data', (part: Uint8Array) => {
-				length += part.length;
+			request.on('data', (chunk: Uint8Array) => {
+				length += chunk.length;
 				if (length > limitBytes) {
 					request.removeAllListeners('data');
 					request.resume();
@@ -68,10 +68,10 @@
 					return;
 				}
 
-				parts.push(part);
+				chunks.push(chunk);
 			});
 			request.once('end', () => {
-				resolve({type: 'whole', body: hasBody(request) ? Buffer.concat(parts) : undefined});
+				resolve({type: 'whole', body: hasBody(request) ? Buffer.concat(chunks) : undefined});
 			});
 			request.once('error', () => {
 				resolve({type: 'left'});
@@ -82,15 +82,15 @@
 		});
 	}
 
-	/** Sends an endpoint's status and headers. */
-	head(status: number, headers: RawHeaders): void {
+	/** Sends the status and headers of an endpoint's response. */
+	writeHead(status: number, headers: RawHeaders): void {
 		this.#response.writeHead(status, [...headers]);
 	}
 
-	/** False if the caller reads too slowly; `onDrain` is then called once it caught up. */
+	/** Returns false if the caller reads too slowly; `onDrain` is then called once the data is sent. */
 	write(bytes: Uint8Array, onDrain: () => void): boolean {
 		this.#response.write(bytes);
-		if (this.#response.writableLength < largestUnsentBytes) {
+		if (this.#response.writableLength < maxUnsentBytes) {
 			return true;
 		}
 
@@ -102,12 +102,12 @@
 		this.#response.end(bytes);
 	}
 
-	/** Ends what can't be completed. */
-	breakOff(): void {
+	/** Closes the connection of a response that can't be completed. */
+	abort(): void {
 		this.#response.destroy();
 	}
 
-	answer({status, message, headers, retryAfterMilliseconds, closesConnection}: OwnAnswer): void {
+	respond({status, message, headers, retryAfterMilliseconds, closesConnection}: GatewayResponse): void {
 		const body = Buffer.from(`${JSON.stringify({error: {message}})}\n`);
 		this.#response.writeHead(status, [
 			...headers,
@@ -122,7 +122,7 @@
 	}
 }
 
-/** Methods whose requests have no body unless they say so. */
+/** Methods whose requests have no body unless the headers announce one. */
 const bodilessMethods = new Set(['GET', 'HEAD', 'DELETE', 'OPTIONS', 'TRACE']);
 
 function hasBody(request: IncomingMessage): boolean {
--- a/src/gateway/connection-pool.ts
+++ b/src/gateway/connection-pool.ts
@@ -3,19 +3,19 @@
 import {type Duplex} from 'node:stream';
 
 /**
- * Failure: an endpoint drops an idle connection, and what is sent next on it is reset. Symptom: a
- * request that may not run twice is lost as "may have run". A connection therefore stays unused for
- * no longer than this, well under the idle times of usual servers (five seconds and more).
+ * Limit for idle connections. If an endpoint closes an idle connection, a request sent on it at that moment is reset, and one
+ * that may not run twice is lost with the verdict that it may have run. The limit is well under the idle timeouts of usual
+ * servers (five seconds and more).
  */
-const idleMilliseconds = 4000;
-/** What an endpoint names as its idle time is cut by this, for the way there. */
-const marginMilliseconds = 1000;
+const maxIdleMilliseconds = 4000;
+/** Subtracted from the idle timeout that an endpoint announces, for the network delay. */
+const idleMarginMilliseconds = 1000;
 /**
- * An endpoint registers as soon as it has started, and word of it is here within this time: a connection that
- * is older leads to its incarnation before.
+ * An endpoint registers as soon as it has started, and this instance is notified within this time: a connection that is older
+ * belongs to the previous incarnation.
  */
-const rebirthMilliseconds = 2000;
-/** Probes on a silent connection start after so long, so that one that went dead shows. */
+const restartNoticeMilliseconds = 2000;
+/** TCP keep-alive probes start after this silence, so that a dead connection is detected. */
 const keepAliveProbeMilliseconds = 2000;
 
 type FreeSocket = Socket & {_httpMessage?: {res?: {headers: Record<string, string | undefined>}}};
@@ -28,70 +28,70 @@
 const HookedAgent = Agent as unknown as new (options: AgentOptions) => Agent & AgentHooks;
 
 /**
- * Kept connections to one endpoint, newest first. Failure: an endpoint sends bytes after a complete
- * answer, or a late second one. Symptom: they are read as the answer to the next request on that
- * connection. Whatever arrives on a connection that carries no request ends it.
+ * Keep-alive connections to one endpoint, the most recently used first. Data on a connection that carries no request closes
+ * it: bytes that an endpoint sends after a complete response, or a late second response, would otherwise be read as the
+ * response to the next request.
  */
 export class ConnectionPool extends HookedAgent {
 	static create(largestConnections: number): ConnectionPool {
 		return new ConnectionPool(largestConnections);
 	}
 
-	/** When each connection that is open was opened. */
-	readonly #opened = new Map<Socket, number>();
+	/** When each open connection was opened. */
+	readonly #openedAt = new Map<Socket, number>();
 
 	private constructor(largestConnections: number) {
 		super({keepAlive: true, keepAliveMsecs: keepAliveProbeMilliseconds, scheduling: 'lifo', maxSockets: largestConnections, noDelay: true});
 	}
 
 	/**
-	 * Failure: an endpoint crashes behind a cut and starts again, and no packet ends what was sent to it. Symptom:
-	 * callers wait for answers that never come. Connections to the incarnation before are closed.
+	 * Closes connections to earlier incarnations. If an endpoint crashes and restarts behind a network partition, no packet
+	 * ends its connections, and callers would wait for responses that never come.
 	 */
-	endOlder(): void {
+	closeStaleConnections(): void {
 		const now = performance.now();
-		for (const [socket, at] of this.#opened) {
-			if (now - at > rebirthMilliseconds) {
-				socket.destroy(new Error('the endpoint has started again'));
+		for (const [socket, at] of this.#openedAt) {
+			if (now - at > restartNoticeMilliseconds) {
+				socket.destroy(new Error('the endpoint has restarted'));
 			}
 		}
 	}
 
-	/** Node calls this for each new connection; its time is kept as long as it is open. */
+	/** Called by Node for each new connection; records its time while it is open. */
 	override createConnection(options: ClientRequestArgs, callback?: OnConnected): Duplex {
 		const socket = super.createConnection(options, callback) as Socket;
-		this.#opened.set(socket, performance.now());
+		this.#openedAt.set(socket, performance.now());
 		socket.once('close', () => {
-			this.#opened.delete(socket);
+			this.#openedAt.delete(socket);
 		});
 		return socket;
 	}
 
 	override keepSocketAlive(socket: FreeSocket): boolean {
 		const hint = /timeout=(?<seconds>\d+)/v.exec(socket._httpMessage?.res?.headers['keep-alive'] ?? '')?.groups?.seconds;
-		const hinted = hint === undefined ? idleMilliseconds : (Number(hint) * 1000) - marginMilliseconds;
-		const milliseconds = Math.min(idleMilliseconds, hinted);
+		const hinted = hint === undefined ? maxIdleMilliseconds : (Number(hint) * 1000) - idleMarginMilliseconds;
+		const milliseconds = Math.min(maxIdleMilliseconds, hinted);
 		if (milliseconds <= 0 || socket.readableLength > 0 || !super.keepSocketAlive(socket)) {
 			return false;
 		}
 
-		socket.setTimeout(milliseconds, dropIdle);
-		socket.on('data', dropStray);
+		socket.setTimeout(milliseconds, closeIdle);
+		socket.on('data', closeOnUnexpectedData);
 		return true;
 	}
 
 	override reuseSocket(socket: Socket, request: ClientRequest): void {
 		super.reuseSocket(socket, request);
 		socket.setTimeout(0);
-		socket.removeListener('timeout', dropIdle);
-		socket.removeListener('data', dropStray);
+		socket.removeListener('timeout', closeIdle);
+		socket.removeListener('data', closeOnUnexpectedData);
 	}
 }
 
-function dropIdle(this: Socket): void {
+function closeIdle(this: Socket): void {
 	this.destroy();
 }
 
-function dropStray(this: Socket): void {
+function closeOnUnexpectedData(this: Socket): void {
 	this.destroy();
 }
--- a/src/gateway/connection-pools.ts
+++ b/src/gateway/connection-pools.ts
@@ -1,43 +1,46 @@
 import {type EndpointRecord} from '../routing/index.js';
 import {ConnectionPool} from './connection-pool.js';
 
-/** Where a service does not say how many connections its endpoints take. */
-const defaultConnections = 64;
-/** This instance's part of what an endpoint takes from all callers: four instances may then meet there. */
+/** Connection limit for services that do not set one. */
+const defaultMaxConnections = 64;
+/**
+ * This instance's share of the connections that an endpoint accepts from all callers; four instances can then use one endpoint
+ * at a time.
+ */
 const connectionShare = 0.3;
 
-/** The kept connections of each endpoint. */
+/** A connection pool for each endpoint. */
 export class ConnectionPools implements Disposable {
 	static create(): ConnectionPools {
 		return new ConnectionPools();
 	}
 
-	readonly #channels = new Map<string, ConnectionPool>();
+	readonly #pools = new Map<string, ConnectionPool>();
 
-	of({id}: EndpointRecord, largestConnections = defaultConnections): ConnectionPool {
-		const held = this.#channels.get(id) ?? ConnectionPool.create(Math.max(8, Math.floor(largestConnections * connectionShare)));
-		this.#channels.set(id, held);
-		return held;
+	forEndpoint({id}: EndpointRecord, largestConnections = defaultMaxConnections): ConnectionPool {
+		const pool = this.#pools.get(id) ?? ConnectionPool.create(Math.max(8, Math.floor(largestConnections * connectionShare)));
+		this.#pools.set(id, pool);
+		return pool;
 	}
 
-	/** Drops the connections of endpoints that are gone. */
+	/** Drops the pools of endpoints that are gone. */
 	retain(ids: ReadonlySet<string>): void {
-		for (const id of this.#channels.keys()) {
+		for (const id of this.#pools.keys()) {
 			if (!ids.has(id)) {
-				// Its free sockets close by themselves; one that still carries an answer ends with it.
-				this.#channels.delete(id);
+				// Idle sockets close by themselves; one that still carries a response closes when it ends.
+				this.#pools.delete(id);
 			}
 		}
 	}
 
-	/** The endpoint has started again: what was sent to its incarnation before has ended with it. */
+	/** Closes the connections to earlier incarnations of an endpoint that has restarted. */
 	closeStaleConnections(id: string): void {
-		this.#channels.get(id)?.endOlder();
+		this.#pools.get(id)?.closeStaleConnections();
 	}
 
 	[Symbol.dispose](): void {
-		for (const channels of this.#channels.values()) {
-			channels.destroy();
+		for (const pool of this.#pools.values()) {
+			pool.destroy();
 		}
 	}
 }
--- a/src/gateway/decision-log.ts
+++ b/src/gateway/decision-log.ts
@@ -3,7 +3,7 @@
 import {type Decision} from './decision.js';
 
 /** How an exchange ended. */
-export type Finish = {
+export type ExchangeResult = {
 	readonly outcome: 'done' | 'left' | 'expired' | 'failed';
 	readonly reason: string | undefined;
 	readonly sendings: number;
@@ -11,27 +11,27 @@
 	readonly firstEventAt: number | undefined;
 };
 
-/** One sending to one endpoint. */
-export type Sending = {
+/** One attempt at one endpoint. */
+export type AttemptResult = {
 	readonly waitedMilliseconds: number;
 	readonly startedAt: number;
 	readonly firstEventAt: number | undefined;
 	readonly events: number;
 	/** The longest time between two of its events. */
 	readonly pauseMilliseconds: number;
-	readonly outcome: Finish['outcome'];
+	readonly outcome: ExchangeResult['outcome'];
 	readonly reason: string | undefined;
 	readonly status: number;
 };
 
-/** Lines a second, on average and at once: at 300 bytes each, 120 kB a second at most leave the process. */
-const linesPerSecond = 400;
+/** Limit of log lines a second, on average and in a burst: at 300 bytes each, at most 120 kB a second are written. */
+const maxLinesPerSecond = 400;
 const summaryMilliseconds = 1000;
 
 /**
- * One line for each decision that touches a request. Failure: a burst of refusals writes so many lines
- * that the process has no time to serve. Above a rate, lines are counted instead, and one line a
- * second tells how many of each kind were left out. Metrics count all of them.
+ * Logs one line for each decision about a request. Above a rate, lines are counted instead of written, and one line a second
+ * reports how many of each kind were dropped; otherwise a burst of refusals would write so many lines that the process has no
+ * time to serve requests. Metrics count all of them.
  */
 export class DecisionLog implements Disposable {
 	static create(logger: PartLogger, metrics: Metrics): DecisionLog {
@@ -43,28 +43,28 @@
 	readonly #finished: Counter;
 	readonly #firstEvents: Latency;
 	readonly #durations: Latency;
-	readonly #leftOut = new Map<string, number>();
+	readonly #dropped = new Map<string, number>();
 	readonly #timer: NodeJS.Timeout;
 	#lines = 0;
 
 	private constructor(logger: PartLogger, metrics: Metrics) {
 		this.#logger = logger;
-		this.#decisions = metrics.counter('gateway_decisions_total', 'Places given and refused, by reason.', ['decision']);
+		this.#decisions = metrics.counter('gateway_decisions_total', 'Placements and refusals, by reason.', ['decision']);
 		this.#finished = metrics.counter('gateway_requests_total', 'Requests that ended, by route and outcome.', ['route', 'outcome']);
 		this.#firstEvents = metrics.latency('gateway_first_event', 'From arrival to the first event of a stream.');
-		this.#durations = metrics.latency('gateway_request', 'From arrival to the end of the answer.');
+		this.#durations = metrics.latency('gateway_request', 'From arrival to the end of the response.');
 		this.#timer = setInterval(() => {
-			this.#summarise();
+			this.#logDropped();
 		}, summaryMilliseconds).unref();
 	}
 
 	[Symbol.dispose](): void {
 		clearInterval(this.#timer);
-		this.#summarise();
+		this.#logDropped();
 	}
 
-	/** The request was turned down where places are given. */
-	refused({facts, route, table, service, workspace}: ExchangeOptions, decision: Extract<Decision, {type: 'refused'}>, waitedMilliseconds: number): void {
+	/** Logs that placement refused the request. */
+	logRefusal({facts, route, table, service, workspace}: ExchangeOptions, decision: Extract<Decision, {type: 'refused'}>, waitedMilliseconds: number): void {
 		const {reason, candidates, ahead, waiting, foreseen} = decision;
 		this.#decisions.add(1, {decision: reason});
 		this.#write('Refused.', {
@@ -74,52 +74,57 @@
 		});
 	}
 
-	/** One sending, from the choice of its endpoint to its outcome. */
-	sent({facts, route, table, service, workspace, dispatcher}: ExchangeOptions, decision: Extract<Decision, {type: 'placed'}>, {waitedMilliseconds, startedAt, firstEventAt, pauseMilliseconds, ...outcome}: Sending): void {
+	/** Logs one attempt, from the choice of its endpoint to its outcome. */
+	logAttempt(
+		{facts, route, table, service, workspace, dispatcher}: ExchangeOptions,
+		decision: Extract<Decision, {type: 'placed'}>,
+		{waitedMilliseconds, startedAt, firstEventAt, pauseMilliseconds, ...outcome}: AttemptResult,
+	): void {
 		const now = performance.now();
 		this.#decisions.add(1, {decision: 'placed'});
 		this.#write('Sent.', {
 			request: facts.id, route: route.name, version: table.version, rank: table.rank(route, service, workspace), endpoint: decision.record.id, unread: decision.prefillTokens,
-			fetched: decision.fetch?.tokens, from: decision.fetch?.from, least: decision.leastPrefillTokens, expected: Math.round(decision.expectedMilliseconds), speed: Math.round(dispatcher.loadTracker.speed(decision.record.service).tokensPerMillisecond),
+			fetched: decision.fetch?.tokens, from: decision.fetch?.from, least: decision.leastPrefillTokens, expected: Math.round(decision.expectedMilliseconds),
+			speed: Math.round(dispatcher.loadTracker.speed(decision.record.service).tokensPerMillisecond),
 			candidates: decision.candidates, waited: Math.round(waitedMilliseconds), line: dispatcher.queueLength, ...outcome,
 			firstEvent: firstEventAt === undefined ? undefined : Math.round(firstEventAt - startedAt), pause: Math.round(pauseMilliseconds), milliseconds: Math.round(now - startedAt),
 		});
 	}
 
-	/** The final answer; a request that was served by its first sending has its line already. */
-	finished({facts, route, arrivedAt}: ExchangeOptions, {firstEventAt, ...finish}: Finish): void {
+	/** Logs the final response; a request served by its first attempt already has its line. */
+	logResult({facts, route, arrivedAt}: ExchangeOptions, {firstEventAt, ...result}: ExchangeResult): void {
 		const milliseconds = performance.now() - arrivedAt;
-		this.#finished.add(1, {route: route.name, outcome: finish.outcome});
+		this.#finished.add(1, {route: route.name, outcome: result.outcome});
 		this.#durations.record(milliseconds, {route: route.name});
 		if (firstEventAt !== undefined) {
 			this.#firstEvents.record(firstEventAt - arrivedAt, {route: route.name});
 		}
 
-		if (finish.outcome !== 'done' || finish.sendings > 1) {
-			this.#write('Finished.', {request: facts.id, route: route.name, ...finish, milliseconds: Math.round(milliseconds)});
+		if (result.outcome !== 'done' || result.sendings > 1) {
+			this.#write('Finished.', {request: facts.id, route: route.name, ...result, milliseconds: Math.round(milliseconds)});
 		}
 	}
 
-	/** Ended before it had a route or a place. */
-	turnedAway(request: string | undefined, status: number, why: Readonly<Record<string, unknown>>): void {
+	/** Logs a request that ended before it had a route or a placement. */
+	logRejection(request: string | undefined, status: number, details: Readonly<Record<string, unknown>>): void {
 		this.#decisions.add(1, {decision: `status-${status}`});
-		this.#write('Turned away.', {request, status, ...why});
+		this.#write('Rejected.', {request, status, ...details});
 	}
 
 	#write(message: string, fields: Readonly<Record<string, unknown>>): void {
 		this.#lines += 1;
-		if (this.#lines > linesPerSecond) {
-			this.#leftOut.set(message, (this.#leftOut.get(message) ?? 0) + 1);
+		if (this.#lines > maxLinesPerSecond) {
+			this.#dropped.set(message, (this.#dropped.get(message) ?? 0) + 1);
 			return;
 		}
 
 		this.#logger.info(message, fields);
 	}
 
-	#summarise(): void {
-		if (this.#leftOut.size > 0) {
-			this.#logger.warn('Lines left out.', {counts: Object.fromEntries(this.#leftOut)});
-			this.#leftOut.clear();
+	#logDropped(): void {
+		if (this.#dropped.size > 0) {
+			this.#logger.warn('Log lines dropped.', {counts: Object.fromEntries(this.#dropped)});
+			this.#dropped.clear();
 		}
 
 		this.#lines = 0;
--- a/src/gateway/decision.ts
+++ b/src/gateway/decision.ts
@@ -1,18 +1,18 @@
 import {type Demand, type Fetch, type QueuedRequest} from '../policy/dispatch/index.js';
 import {type EndpointRecord} from '../routing/index.js';
 
-/** One request that wants a place. */
+/** A request for placement at an endpoint. */
 export type PlacementRequest = QueuedRequest & {
 	readonly demand: Demand;
-	/** When it first passed over a free endpoint for a better one. */
+	/** When it was first deferred: a free endpoint was passed over for a better one. */
 	deferredAt?: number;
-	/** True while an endpoint is free to it and it waits for a better one, by the last look. */
+	/** True if by the last search an endpoint is free and the request waits for a better one. */
 	isDeferred?: boolean;
-	/** What it waits for, and when a look at it is worth while again. */
+	/** Endpoint that it waits for, and the time of the next search. */
 	waitsFor?: {readonly endpoint: string; readonly until: number};
-	/** Endpoints that it has been at. */
+	/** Endpoints that it was already sent to. */
 	readonly excluded: ReadonlySet<string>;
-	/** True if it may run again, so that it may try an endpoint that failed before. */
+	/** True if it may run again, so that it may be sent to an endpoint as a trial of its recovery. */
 	readonly isIdempotent: boolean;
 	readonly onDecision: (decision: Decision) => void;
 };
@@ -23,21 +23,21 @@
 		readonly fetch: (Fetch & {readonly address: string}) | undefined;
 		readonly expectedMilliseconds: number; readonly leastPrefillTokens: number; readonly candidates: number;
 	}
-	/** It can't be started in time, or nothing runs its service. */
+	/** It can't be started in time, or no endpoint runs its service. */
 	| {
 		readonly type: 'refused'; readonly reason: RefusalReason; readonly retryAfterMilliseconds: number; readonly candidates: number;
-		/** How many of its service come before it, and how many wait in all. */
+		/** Requests of its service ahead of it, and all queued requests. */
 		readonly ahead: number; readonly waiting: number;
-		readonly foreseen: Foreseen | undefined;
+		readonly foreseen: WaitEstimate | undefined;
 	};
 
-/** What a wait was judged by, in milliseconds from then. */
-export type Foreseen = {
-	/** Until the endpoint that suits best may get it. */
+/** Estimates that a refusal is based on, in milliseconds from then. */
+export type WaitEstimate = {
+	/** Wait for a slot at the best endpoint. */
 	readonly endpoint: number;
-	/** Until those ahead of it have their places. */
+	/** Wait until the requests ahead of it are placed. */
 	readonly line: number;
-	/** Until it can't be started in time any more. */
+	/** Time left to start it. */
 	readonly left: number;
 };
 
--- a/src/gateway/dispatcher.ts
+++ b/src/gateway/dispatcher.ts
@@ -1,19 +1,19 @@
 import {type InstanceId, type ZoneName} from '../model/index.js';
 import {
-	sendProbability, choosePlace, type PlacementContext, groupKeyOf, ScanResults, QueueReporter, LoadTracker, type LoadEvent, type Place, propagationMilliseconds, prefillMilliseconds, type RetryAllowance, RetryShare,
-	runId, type Tuning, type Wait,
+	sendProbability, choosePlace, type PlacementContext, groupKeyOf, ScanResults, QueueReporter, LoadTracker, type LoadEvent, type Place, propagationMilliseconds, prefillMilliseconds,
+	type RetryAllowance, RetryShare, runId, type Tuning, type Wait,
 } from '../policy/dispatch/index.js';
 import {singleInstanceView, type FleetView} from '../policy/sharing/index.js';
 import {compareUrgency, type EndpointRecord} from '../routing/index.js';
 import {type PartLogger} from '../telemetry/index.js';
 import {type RoutingState} from './routing-state.js';
 import {RefusalReason, type PlacementRequest} from './decision.js';
-import {EndpointBook, type Known} from './endpoint-pool.js';
-import {type LineActivity, LineMeter} from './queue-meter.js';
-import {unknownRetryMilliseconds, WaitingRoom} from './placement-queue.js';
+import {EndpointPool, type PlacementEndpoint} from './endpoint-pool.js';
+import {type QueueActivity, QueueMeter} from './queue-meter.js';
+import {unknownRetryMilliseconds, PlacementQueue} from './placement-queue.js';
 
 export type DispatcherOptions = {
-	/** This start of the instance: its runs bear the name. */
+	/** Identifies this start of the instance; the ids of its runs contain it. */
 	readonly incarnation: InstanceId;
 	readonly zone: ZoneName;
 	readonly routingState: RoutingState;
@@ -21,65 +21,65 @@
 	readonly allowance: RetryAllowance;
 	readonly random: () => number;
 	readonly tuning: Tuning;
-	/** Load of this instance that others should know. */
+	/** Called with load events of this instance that other instances need. */
 	readonly onLoad: (event: LoadEvent) => void;
 };
 
-/** How often the line is tried again while something waits in it. */
-const tickMilliseconds = 8;
-/** A request that waits is looked at once in about so long: a tick may come just before it is due. */
-const lookMilliseconds = 2 * tickMilliseconds;
-/** After a try of the line it rests for so many times as long: a tenth of the process's time goes there at most. */
-const pumpRest = 9;
-/** A megabit a second, in bits a millisecond. */
-const bitsEachMillisecond = 1000;
+/** Interval between scans of the queue while requests wait in it. */
+const scanIntervalMilliseconds = 8;
+/** Expected interval between two searches for one queued request: a scan may come just before the request is due. */
+const searchIntervalMilliseconds = 2 * scanIntervalMilliseconds;
+/** After a scan the queue rests for this many times the scan's duration, so scans take at most a tenth of the process's time. */
+const scanRestFactor = 9;
+/** One megabit per second, in bits per millisecond. */
+const bitsPerMillisecondPerMegabit = 1000;
 const bitsPerByte = 8;
 
-/** Places, queues and refuses. It owns the load book, the endpoints' book and the retry share. */
+/** Places, queues and refuses requests. Owns the load tracker, the endpoint pool and the retry share. */
 export class Dispatcher implements Disposable {
 	static create(options: DispatcherOptions): Dispatcher {
 		return new Dispatcher(options);
 	}
 
 	readonly loadTracker = LoadTracker.create();
-	readonly endpoints: EndpointBook;
+	readonly endpoints: EndpointPool;
 	readonly retries: RetryShare;
-	/** How much of the fleet this instance hears of. */
+	/** How much of the fleet this instance receives load from. */
 	view: FleetView = singleInstanceView;
 	readonly #options: DispatcherOptions;
-	readonly #room: WaitingRoom;
-	/** What the last try of the line has found. */
-	#looks = ScanResults.create();
-	/** When the line may be tried again: it takes a bounded part of the process's time. */
-	#pumpAt = 0;
+	readonly #queue: PlacementQueue;
+	/** Results of the last scan of the queue. */
+	#lastScan = ScanResults.create();
+	/** Earliest time of the next scan: scans take a bounded share of the process's time. */
+	#nextScanAt = 0;
 	#timer: NodeJS.Timeout | undefined;
-	readonly #teller: QueueReporter;
-	readonly #meter = LineMeter.create();
+	readonly #queueReporter: QueueReporter;
+	readonly #queueMeter = QueueMeter.create();
 	#runCount = 0;
 
 	private constructor(options: DispatcherOptions) {
 		this.#options = options;
 		this.retries = RetryShare.create(options.allowance);
-		this.#teller = QueueReporter.create(options.incarnation);
-		this.endpoints = EndpointBook.create({beliefs: options.routingState, logger: options.logger, load: this.loadTracker});
-		this.#room = WaitingRoom.create({
-			book: this.loadTracker, endpoints: this.endpoints, random: options.random,
+		this.#queueReporter = QueueReporter.create(options.incarnation);
+		this.endpoints = EndpointPool.create({routingState: options.routingState, logger: options.logger, loadTracker: this.loadTracker});
+		this.#queue = PlacementQueue.create({
+			loadTracker: this.loadTracker, endpoints: this.endpoints, random: options.random,
 			view: () => this.view,
 			onWaiting: () => {
 				this.#timer ??= setInterval(() => {
-					this.#pump();
-				}, tickMilliseconds);
+					this.#scanIfDue();
+				}, scanIntervalMilliseconds);
 			},
 		});
 	}
 
 	get queueLength(): number {
-		return this.#room.size;
+		return this.#queue.size;
 	}
 
-	/** What was done for those that wait since it was asked last. */
-	takeQueueActivity(): LineActivity {
-		return this.#meter.take(this.#room.size);
+	/** Queue statistics since the previous call. */
+	takeQueueActivity(): QueueActivity {
+		return this.#queueMeter.take(this.#queue.size);
 	}
 
 	[Symbol.dispose](): void {
@@ -87,82 +87,86 @@
 	}
 
 	/**
-	 * Decides at once where it can; else the ticket waits, and its decision comes later. Who comes behind others that found everything
-	 * full joins them: a look of its own would find nothing, or take what they wait for.
+	 * Decides at once where possible; otherwise the request is queued and its decision comes later. A request whose group
+	 * found all endpoints full in the last scan is queued without a search of its own: the search would find nothing, or take
+	 * a slot that queued requests wait for.
 	 */
-	submit(ticket: PlacementRequest): void {
-		const wait = ticket.demand.isLatencyCritical || ticket.excluded.size > 0 ? undefined : this.#looks.waitMilliseconds(groupKeyOf(ticket));
+	submit(request: PlacementRequest): void {
+		const wait = request.demand.isLatencyCritical || request.excluded.size > 0 ? undefined : this.#lastScan.waitMilliseconds(groupKeyOf(request));
 		if (wait === undefined) {
-			this.#try(ticket, this.#awaitedBefore(ticket));
+			this.#search(request, this.#endpointsAwaitedBefore(request));
 			return;
 		}
 
-		this.#room.joinBehind(ticket, wait, performance.now());
+		this.#queue.enqueueWithGroup(request, wait, performance.now());
 	}
 
-	/** The caller left, or the time is over. */
-	withdraw(id: string): void {
-		this.#room.withdraw(id);
+	/** Removes a request whose caller disconnected or whose deadline passed. */
+	cancel(id: string): void {
+		this.#queue.remove(id);
 	}
 
 	recordFirstEvent(runId: string): void {
-		this.#tell({type: 'first-event', id: runId});
+		this.#publishLoad({type: 'first-event', id: runId});
 	}
 
 	recordEnd(runId: string): void {
-		this.#tell({type: 'ended', id: runId});
-		this.#pump();
+		this.#publishLoad({type: 'ended', id: runId});
+		this.#scanIfDue();
 	}
 
-	/** Load that another instance tells of. */
+	/** Applies a load event of another instance. */
 	applyLoad(event: LoadEvent): void {
 		this.loadTracker.step(event, performance.now());
 	}
 
-	/** True if the ticket has its decision; at the endpoints named in `awaited` others come first. What it finds is noted for those behind it. */
-	#try(ticket: PlacementRequest, awaited: ReadonlySet<string>, looks?: ScanResults): boolean {
+	/**
+	 * Returns true if the request has its decision. Endpoints in `awaited` are reserved for requests ahead of it. The result
+	 * is recorded for the requests of its group behind it.
+	 */
+	#search(request: PlacementRequest, awaited: ReadonlySet<string>, results?: ScanResults): boolean {
 		const now = performance.now();
-		this.#meter.looked();
-		const {trial, usable} = this.endpoints.usable(ticket, now);
-		if (trial !== undefined && !awaited.has(trial.record.id) && this.#tryTrial(ticket, trial, now)) {
+		this.#queueMeter.recordSearch();
+		const {trial, usable} = this.endpoints.available(request, now);
+		if (trial !== undefined && !awaited.has(trial.record.id) && this.#placeTrial(request, trial, now)) {
 			return true;
 		}
 
 		if (usable.length === 0) {
-			this.#room.refuse(ticket, RefusalReason.noEndpoint, {milliseconds: unknownRetryMilliseconds, candidates: 0});
+			this.#queue.refuse(request, RefusalReason.noEndpoint, {milliseconds: unknownRetryMilliseconds, candidates: 0});
 			return true;
 		}
 
 		const candidates = usable.map(({candidate}) => candidate);
-		const demand = {...ticket.demand, waitedMilliseconds: now - (ticket.deferredAt ?? now), elapsedMilliseconds: now - ticket.arrivedAt, isOutranked: this.#isOutranked(ticket, now)};
-		const choice = choosePlace(this.loadTracker, demand, candidates, this.#circumstances(ticket.demand.service, now));
+		const demand = {...request.demand, waitedMilliseconds: now - (request.deferredAt ?? now), elapsedMilliseconds: now - request.arrivedAt, isOutranked: this.#isOutranked(request, now)};
+		const choice = choosePlace(this.loadTracker, demand, candidates, this.#placementContext(request.demand.service, now));
 		if (choice.type === 'wait') {
-			ticket.isDeferred = choice.isDeferral;
+			request.isDeferred = choice.isDeferral;
 			if (choice.isDeferral) {
-				ticket.deferredAt ??= now;
+				request.deferredAt ??= now;
 			}
 
-			this.#noteWait(ticket, choice, {looks, endpoints: candidates.length});
-			return this.#room.enqueue(ticket, choice, candidates);
+			this.#recordWait(request, choice, {results, endpoints: candidates.length});
+			return this.#queue.enqueue(request, choice, candidates);
 		}
 
-		ticket.isDeferred = false;
-		if (awaited.has(choice.endpoint) || !this.#mayTake(ticket, choice.prefillTokens, candidates.length)) {
-			looks?.recordMiss(groupKeyOf(ticket), {endpoints: candidates.length, milliseconds: tickMilliseconds});
-			return this.#room.enqueue(ticket, {type: 'wait', endpoint: choice.endpoint, milliseconds: tickMilliseconds, isDeferral: false}, candidates);
+		request.isDeferred = false;
+		if (awaited.has(choice.endpoint) || !this.#maySend(request, choice.prefillTokens, candidates.length)) {
+			results?.recordMiss(groupKeyOf(request), {endpoints: candidates.length, milliseconds: scanIntervalMilliseconds});
+			return this.#queue.enqueue(request, {type: 'wait', endpoint: choice.endpoint, milliseconds: scanIntervalMilliseconds, isDeferral: false}, candidates);
 		}
 
-		const {record} = usable.find(known => known.record.id === choice.endpoint)!;
-		this.#place(ticket, record, {...choice, candidates: candidates.length});
+		const {record} = usable.find(endpoint => endpoint.record.id === choice.endpoint)!;
+		this.#place(request, record, {...choice, candidates: candidates.length});
 		return true;
 	}
 
-	/** One that was at some endpoints already has fewer to choose from, which says nothing of the others of its group. */
-	#noteWait(ticket: PlacementRequest, {isDeferral: isForBetter, milliseconds}: Wait, {looks, endpoints}: {looks: ScanResults | undefined; endpoints: number}): void {
-		if (isForBetter) {
-			looks?.recordMiss(groupKeyOf(ticket), {endpoints, milliseconds});
-		} else if (ticket.excluded.size === 0) {
-			looks?.recordFull(groupKeyOf(ticket), milliseconds);
+	/** A request with excluded endpoints has fewer candidates, so its full result says nothing about the others of its group. */
+	#recordWait(request: PlacementRequest, {isDeferral, milliseconds}: Wait, {results, endpoints}: {results: ScanResults | undefined; endpoints: number}): void {
+		if (isDeferral) {
+			results?.recordMiss(groupKeyOf(request), {endpoints, milliseconds});
+		} else if (request.excluded.size === 0) {
+			results?.recordFull(groupKeyOf(request), milliseconds);
 		}
 	}
 
@@ -170,36 +174,39 @@
 		return this.#options.tuning.heedsLines && !demand.isLatencyCritical && this.loadTracker.peerQueues.hasMoreUrgent(service, urgency, now);
 	}
 
-	/** Where other instances are likely to want the same place, chance decides who takes it first. */
-	#mayTake(ticket: PlacementRequest, prefillTokens: number, candidates: number): boolean {
-		const {service, urgency, demand} = ticket;
+	/** Where other instances are likely to want the same slot, sends only with a probability, so that not all of them take it. */
+	#maySend(request: PlacementRequest, prefillTokens: number, candidates: number): boolean {
+		const {service, urgency, demand} = request;
 		const {links, instances} = this.view;
 		const now = performance.now();
-		const unheard = links === 0 ? 1 : (instances - 1) / links;
-		const chance = sendProbability({
-			contenders: this.loadTracker.peerQueues.ahead(service, urgency, now) * unheard / candidates,
-			searchIntervalMilliseconds: lookMilliseconds,
+		const fleetScale = links === 0 ? 1 : (instances - 1) / links;
+		const probability = sendProbability({
+			contenders: this.loadTracker.peerQueues.ahead(service, urgency, now) * fleetScale / candidates,
+			searchIntervalMilliseconds,
 			prefillMilliseconds: prefillMilliseconds(this.loadTracker.speed(service), prefillTokens),
 			propagationMilliseconds: propagationMilliseconds(links),
 		});
-		return demand.isLatencyCritical || this.#options.random() < chance;
+		return demand.isLatencyCritical || this.#options.random() < probability;
 	}
 
-	#circumstances(service: string, now: number): PlacementContext {
-		const {zone, tuning, routingState: beliefs} = this.#options;
-		const transfer = beliefs.table?.service(service)?.engine?.transfer;
+	#placementContext(service: string, now: number): PlacementContext {
+		const {zone, tuning, routingState} = this.#options;
+		const transfer = routingState.table?.service(service)?.engine?.transfer;
 		return {
 			zone, now, tuning,
 			view: this.view,
 			propagationMilliseconds: propagationMilliseconds(this.view.links),
-			fetchTokensPerMillisecond: transfer === undefined ? undefined : transfer.megabitsPerSecond * bitsEachMillisecond / bitsPerByte / transfer.bytesPerToken,
+			fetchTokensPerMillisecond: transfer === undefined ? undefined : transfer.megabitsPerSecond * bitsPerMillisecondPerMegabit / bitsPerByte / transfer.bytesPerToken,
 		};
 	}
 
-	/** Endpoints that others wait for who are at least as urgent: who comes later must not take the place that comes free there. */
-	#awaitedBefore({urgency}: PlacementRequest): ReadonlySet<string> {
+	/**
+	 * Endpoints that queued requests of at least the same urgency wait for: a later request must not take a slot that becomes
+	 * free there.
+	 */
+	#endpointsAwaitedBefore({urgency}: PlacementRequest): ReadonlySet<string> {
 		const awaited = new Set<string>();
-		for (const waiting of this.#room.tickets) {
+		for (const waiting of this.#queue.requests) {
 			if (compareUrgency(waiting.urgency, urgency) <= 0 && waiting.waitsFor !== undefined) {
 				awaited.add(waiting.waitsFor.endpoint);
 			}
@@ -208,92 +215,96 @@
 		return awaited;
 	}
 
-	#place(ticket: PlacementRequest, record: EndpointRecord, {candidates, prefillTokens, fetch, expectedMilliseconds, leastPrefillTokens}: Place & {candidates: number}): void {
+	#place(request: PlacementRequest, record: EndpointRecord, {candidates, prefillTokens, fetch, expectedMilliseconds, leastPrefillTokens}: Place & {candidates: number}): void {
 		const now = performance.now();
-		this.#meter.placed(this.#room.has(ticket.id));
-		this.#room.placed(ticket, prefillTokens, now);
+		this.#queueMeter.recordPlacement(this.#queue.has(request.id));
+		this.#queue.recordPlacement(request, prefillTokens, now);
 		this.#runCount += 1;
 		const id = runId(this.#options.incarnation, this.#runCount);
-		const {service, isLatencyCritical, parts} = ticket.demand;
-		this.#tell({type: 'placed', run: {id, owner: this.#options.incarnation, endpoint: record.id, service, prefillTokens, isLatencyCritical, parts}});
-		this.endpoints.noteSent(record, now);
+		const {service, isLatencyCritical, parts} = request.demand;
+		this.#publishLoad({type: 'placed', run: {id, owner: this.#options.incarnation, endpoint: record.id, service, prefillTokens, isLatencyCritical, parts}});
+		this.endpoints.recordAttempt(record, now);
 		const source = fetch === undefined ? undefined : this.#options.routingState.directory.entries.get(fetch.from)?.record.address;
-		ticket.onDecision({type: 'placed', runId: id, record, prefillTokens, fetch: fetch === undefined || source === undefined ? undefined : {...fetch, address: source}, expectedMilliseconds, leastPrefillTokens, candidates});
+		request.onDecision({
+			type: 'placed', runId: id, record, prefillTokens, fetch: fetch === undefined || source === undefined ? undefined : {...fetch, address: source},
+			expectedMilliseconds, leastPrefillTokens, candidates,
+		});
 	}
 
 	/**
-	 * Sends a request that may be repeated to an endpoint whose recovery is to be seen, if that has room.
-	 * Failure: it is full of what others sent before it was set aside. Symptom: all such requests look at
-	 * it alone and are refused. It is tried beside the others, never in place of them.
+	 * Sends an idempotent request to a suspended endpoint as a trial of its recovery, if it has a free slot. The trial is an
+	 * addition to the other candidates and never replaces them: the endpoint may still be full of requests that other
+	 * instances sent before it was suspended, and requests that could only go there would be refused.
 	 */
-	#tryTrial(ticket: PlacementRequest, trial: Known, now: number): boolean {
-		const choice = choosePlace(this.loadTracker, {...ticket.demand, elapsedMilliseconds: now - ticket.arrivedAt}, [trial.candidate], this.#circumstances(ticket.demand.service, now));
+	#placeTrial(request: PlacementRequest, trial: PlacementEndpoint, now: number): boolean {
+		const choice = choosePlace(this.loadTracker, {...request.demand, elapsedMilliseconds: now - request.arrivedAt}, [trial.candidate], this.#placementContext(request.demand.service, now));
 		if (choice.type === 'wait') {
 			return false;
 		}
 
-		this.#place(ticket, trial.record, {...choice, candidates: 1});
+		this.#place(request, trial.record, {...choice, candidates: 1});
 		return true;
 	}
 
-	#pump(): void {
+	#scanIfDue(): void {
 		const startedAt = performance.now();
-		this.#tellLines(startedAt);
-		if (this.#room.size === 0) {
+		this.#reportQueue(startedAt);
+		if (this.#queue.size === 0) {
 			clearInterval(this.#timer);
 			this.#timer = undefined;
-			this.#looks = ScanResults.create();
+			this.#lastScan = ScanResults.create();
 			return;
 		}
 
-		if (startedAt >= this.#pumpAt) {
-			this.#tryLine(startedAt);
+		if (startedAt >= this.#nextScanAt) {
+			this.#scan(startedAt);
 			const now = performance.now();
-			this.#meter.tried(startedAt, now);
-			this.#pumpAt = now + ((now - startedAt) * pumpRest);
+			this.#queueMeter.recordScan(startedAt, now);
+			this.#nextScanAt = now + ((now - startedAt) * scanRestFactor);
 		}
 	}
 
-	#tryLine(now: number): void {
-		this.#room.expire(now);
-		// What an earlier one waits for, a later one does not take; other endpoints are free to it.
+	#scan(now: number): void {
+		this.#queue.expire(now);
+		// A later request does not take an endpoint that an earlier one waits for; other endpoints are open to it.
 		const awaited = new Set<string>();
-		const looks = ScanResults.create();
-		this.#looks = looks;
-		for (const ticket of this.#room.ordered(now)) {
-			if (this.#room.has(ticket.id) && !this.#decide(ticket, {awaited, looks, now}) && ticket.waitsFor !== undefined) {
-				awaited.add(ticket.waitsFor.endpoint);
+		const results = ScanResults.create();
+		this.#lastScan = results;
+		for (const request of this.#queue.ordered(now)) {
+			if (this.#queue.has(request.id) && !this.#searchIfDue(request, {awaited, results, now}) && request.waitsFor !== undefined) {
+				awaited.add(request.waitsFor.endpoint);
 			}
 		}
 	}
 
-	/** True if it has left the line. */
-	#decide(ticket: PlacementRequest, {awaited, looks, now}: {awaited: ReadonlySet<string>; looks: ScanResults; now: number}): boolean {
-		if (ticket.waitsFor !== undefined && ticket.waitsFor.until > now) {
+	/** Returns true if the request has left the queue. */
+	#searchIfDue(request: PlacementRequest, {awaited, results, now}: {awaited: ReadonlySet<string>; results: ScanResults; now: number}): boolean {
+		if (request.waitsFor !== undefined && request.waitsFor.until > now) {
 			return false;
 		}
 
-		const wait = ticket.demand.isLatencyCritical ? undefined : looks.waitMilliseconds(groupKeyOf(ticket));
-		return wait === undefined ? this.#try(ticket, awaited, looks) : this.#room.joinBehind(ticket, wait, now);
+		const wait = request.demand.isLatencyCritical ? undefined : results.waitMilliseconds(groupKeyOf(request));
+		return wait === undefined ? this.#search(request, awaited, results) : this.#queue.enqueueWithGroup(request, wait, now);
 	}
 
 	/**
-	 * Tight streams go first by themselves, and who waits for a better place holds nobody up. Failure: a confirmation passed over a
-	 * free engine once, and none has been free since. Symptom: nobody hears that it waits, and drafts of other instances take what
-	 * comes free. Only what the last look found counts.
+	 * Reports the queued requests to other instances. Latency-critical streams are placed first by themselves, and deferred
+	 * requests hold nothing up, so both are left out. Only the last search counts for that: a request that deferred once and
+	 * has found no free engine since must be reported, or less urgent requests of other instances take the slots that become
+	 * free.
 	 */
-	#tellLines(now: number): void {
-		if (!this.#teller.isDue(this.#room.size > 0, now)) {
+	#reportQueue(now: number): void {
+		if (!this.#queueReporter.isDue(this.#queue.size > 0, now)) {
 			return;
 		}
 
-		const waiting = [...this.#room.tickets].filter(({demand, isDeferred: isPassingOver}) => !demand.isLatencyCritical && isPassingOver !== true);
-		for (const event of this.#teller.events(waiting, now)) {
+		const waiting = [...this.#queue.requests].filter(({demand, isDeferred}) => !demand.isLatencyCritical && isDeferred !== true);
+		for (const event of this.#queueReporter.events(waiting, now)) {
 			this.#options.onLoad(event);
 		}
 	}
 
-	#tell(event: LoadEvent): void {
+	#publishLoad(event: LoadEvent): void {
 		this.loadTracker.step(event, performance.now());
 		this.#options.onLoad(event);
 	}
--- a/src/gateway/endpoint-pool.ts
+++ b/src/gateway/endpoint-pool.ts
@@ -4,120 +4,123 @@
 import {type RoutingState} from './routing-state.js';
 import {type PlacementRequest} from './decision.js';
 
-/** A service's usual share of errors, from about its last hundred answers. */
-const usualWeight = 0.01;
+/** Weight of a response in the moving average of a service's failure share, which spans about the last hundred responses. */
+const failureShareWeight = 0.01;
 
 /** An endpoint of a service with what placement needs of it. */
-export type Known = {readonly candidate: Candidate; readonly entry: EndpointEntry; readonly record: EndpointRecord};
+export type PlacementEndpoint = {readonly candidate: Candidate; readonly entry: EndpointEntry; readonly record: EndpointRecord};
 
-/** Where one request may go now. */
-export type Usable = {readonly trial: Known | undefined; readonly usable: readonly Known[]};
+/** Endpoints that a request may be sent to now. */
+export type AvailableEndpoints = {readonly trial: PlacementEndpoint | undefined; readonly usable: readonly PlacementEndpoint[]};
 
-export type EndpointBookOptions = {readonly beliefs: RoutingState; readonly logger: PartLogger; readonly load: LoadTracker};
+export type EndpointPoolOptions = {readonly routingState: RoutingState; readonly logger: PartLogger; readonly loadTracker: LoadTracker};
 
-/** The endpoints of each service as placement sees them, and their health as this instance's own answers show it. */
-export class EndpointBook {
-	static create(options: EndpointBookOptions): EndpointBook {
-		return new EndpointBook(options);
+/** Endpoints of each service with their health, as this instance's own responses show it. */
+export class EndpointPool {
+	static create(options: EndpointPoolOptions): EndpointPool {
+		return new EndpointPool(options);
 	}
 
-	readonly #options: EndpointBookOptions;
+	readonly #options: EndpointPoolOptions;
 	readonly #health = new Map<string, EndpointHealth>();
-	readonly #usualFailures = new Map<string, number>();
-	readonly #known = new Map<string, readonly Known[]>();
+	readonly #failureShares = new Map<string, number>();
+	readonly #endpoints = new Map<string, readonly PlacementEndpoint[]>();
 	readonly #candidates = new Map<string, readonly Candidate[]>();
 
-	private constructor(options: EndpointBookOptions) {
+	private constructor(options: EndpointPoolOptions) {
 		this.#options = options;
-		options.beliefs.onChange(change => {
-			this.#known.clear();
+		options.routingState.onChange(change => {
+			this.#endpoints.clear();
 			this.#candidates.clear();
 			for (const endpoint of change.type === 'reborn' ? change.ids : []) {
 				this.#health.delete(endpoint);
-				options.load.step({type: 'endpoint-restarted', endpoint}, performance.now());
+				options.loadTracker.step({type: 'endpoint-restarted', endpoint}, performance.now());
 			}
 		});
 	}
 
 	/**
-	 * Ready and healthy ones; what is suspended only where nothing else is left. What is on its way out is a
-	 * resort only where the service has no other endpoint at all, be it one that this request has been at:
-	 * word of a leaving comes late.
+	 * Ready and healthy endpoints; suspended ones only if nothing else is left. Endpoints that are draining or removed are a
+	 * last resort only where the service has no ready endpoint at all, not even one that this request has already tried: an
+	 * instance receives the announcement of a draining endpoint late.
 	 */
-	usable(ticket: PlacementRequest, now: number): Usable {
-		const lists = {open: [] as Known[], trial: [] as Known[], suspended: [] as Known[], ending: [] as Known[]};
+	available(request: PlacementRequest, now: number): AvailableEndpoints {
+		const lists = {open: [] as PlacementEndpoint[], trial: [] as PlacementEndpoint[], suspended: [] as PlacementEndpoint[], ending: [] as PlacementEndpoint[]};
 		let hasReady = false;
-		for (const known of this.#knownOf(ticket.demand.service)) {
-			const standing = endpointStatusOf(known.entry, now);
-			hasReady ||= standing === EndpointStatus.ready;
-			if (standing === EndpointStatus.gone || ticket.excluded.has(known.record.id)) {
+		for (const endpoint of this.#endpointsOf(request.demand.service)) {
+			const status = endpointStatusOf(endpoint.entry, now);
+			hasReady ||= status === EndpointStatus.ready;
+			if (status === EndpointStatus.gone || request.excluded.has(endpoint.record.id)) {
 				continue;
 			}
 
-			const health = this.#health.get(known.record.id);
-			lists[standing === EndpointStatus.ready ? (health === undefined ? 'open' : availability(health, now)) : 'ending'].push(known);
+			const health = this.#health.get(endpoint.record.id);
+			lists[status === EndpointStatus.ready ? (health === undefined ? 'open' : availability(health, now)) : 'ending'].push(endpoint);
 		}
 
 		const usable = [lists.open, lists.trial, lists.suspended, hasReady ? [] : lists.ending].find(list => list.length > 0) ?? [];
-		return {trial: ticket.isIdempotent ? lists.trial[0] : undefined, usable};
+		return {trial: request.isIdempotent ? lists.trial[0] : undefined, usable};
 	}
 
-	/** All of a service's endpoints: what a foreseen wait goes by, asked for each that waits in each try of the line. */
+	/**
+	 * All endpoints of a service, on which the estimated wait is based. Cached, since each scan asks for them for each queued
+	 * request.
+	 */
 	candidatesOf(service: string): readonly Candidate[] {
-		const held = this.#candidates.get(service) ?? this.#knownOf(service).map(({candidate}) => candidate);
-		this.#candidates.set(service, held);
-		return held;
+		const cached = this.#candidates.get(service) ?? this.#endpointsOf(service).map(({candidate}) => candidate);
+		this.#candidates.set(service, cached);
+		return cached;
 	}
 
-	/** What an answer, or its lack, says of an endpoint. */
+	/** Updates an endpoint's health by a response or by the lack of one. */
 	report(record: EndpointRecord, outcome: 'answered' | 'failed' | 'unreachable'): void {
-		const usual = this.#usualFailures.get(record.service) ?? 0;
+		const usualFailureShare = this.#failureShares.get(record.service) ?? 0;
 		if (outcome !== 'unreachable') {
-			this.#usualFailures.set(record.service, usual + (((outcome === 'failed' ? 1 : 0) - usual) * usualWeight));
+			this.#failureShares.set(record.service, usualFailureShare + (((outcome === 'failed' ? 1 : 0) - usualFailureShare) * failureShareWeight));
 		}
 
-		this.#judge(record, outcome === 'failed' ? {type: 'failed', usualShare: usual} : {type: outcome});
+		this.#updateHealth(record, outcome === 'failed' ? {type: 'failed', usualShare: usualFailureShare} : {type: outcome});
 	}
 
-	/** A request goes there; where its recovery is to be seen, this is the one that shows it. */
-	noteSent(record: EndpointRecord, now: number): void {
+	/** Records that a request is sent there; for an endpoint in recovery, this request is its trial. */
+	recordAttempt(record: EndpointRecord, now: number): void {
 		if (availability(this.#health.get(record.id) ?? createEndpointHealth(), now) === 'trial') {
-			this.#judge(record, {type: 'trial'});
+			this.#updateHealth(record, {type: 'trial'});
 		}
 	}
 
-	/** Whether a service has an endpoint in good health beside this one and those excluded. */
+	/** Whether a service has a healthy endpoint other than this one and the excluded ones. */
 	hasAnother(service: string, excluded: ReadonlySet<string>, record: EndpointRecord): boolean {
 		const now = performance.now();
-		return [...this.#options.beliefs.directory.entries.values()].some(entry => entry.record.service === service
+		return [...this.#options.routingState.directory.entries.values()].some(entry => entry.record.service === service
 			&& entry.record.id !== record.id
 			&& !excluded.has(entry.record.id)
 			&& endpointStatusOf(entry, now) === EndpointStatus.ready
 			&& availability(this.#health.get(entry.record.id) ?? createEndpointHealth(), now) === 'open');
 	}
 
-	/** A service's endpoints, worked out once for each change of what is believed. */
-	#knownOf(service: string): readonly Known[] {
-		const held = this.#known.get(service);
-		if (held !== undefined) {
-			return held;
+	/** Endpoints of a service, cached until the routing state changes. */
+	#endpointsOf(service: string): readonly PlacementEndpoint[] {
+		const cached = this.#endpoints.get(service);
+		if (cached !== undefined) {
+			return cached;
 		}
 
-		const {beliefs, load} = this.#options;
-		const memoryTokens = beliefs.table?.service(service)?.engine?.memoryTokens;
-		const entries = [...beliefs.directory.entries.values()].filter(({record}) => record.service === service);
+		const {routingState, loadTracker} = this.#options;
+		const memoryTokens = routingState.table?.service(service)?.engine?.memoryTokens;
+		const entries = [...routingState.directory.entries.values()].filter(({record}) => record.service === service);
 		const candidates = inHashOrder(entries.map(({record}) => ({id: record.id, zone: record.zone, slots: record.slots, isEngine: memoryTokens !== undefined})));
 		const byId = new Map(entries.map(entry => [entry.record.id, entry]));
-		const known = candidates.map(candidate => {
+		const endpoints = candidates.map(candidate => {
 			const entry = byId.get(candidate.id)!;
-			load.setCacheCapacity(candidate.id, memoryTokens ?? 0);
+			loadTracker.setCacheCapacity(candidate.id, memoryTokens ?? 0);
 			return {candidate, entry, record: entry.record};
 		});
-		this.#known.set(service, known);
-		return known;
+		this.#endpoints.set(service, endpoints);
+		return endpoints;
 	}
 
-	#judge(record: EndpointRecord, event: HealthEvent): void {
+	#updateHealth(record: EndpointRecord, event: HealthEvent): void {
 		const now = performance.now();
 		const before = this.#health.get(record.id) ?? createEndpointHealth();
 		const after = stepEndpointHealth(before, event, now);
--- a/src/gateway/event-loop-monitor.ts
+++ b/src/gateway/event-loop-monitor.ts
@@ -1,38 +1,38 @@
 import {performance} from 'node:perf_hooks';
 import {type Metrics, type PartLogger} from '../telemetry/index.js';
-import {type LineActivity} from './queue-meter.js';
+import {type QueueActivity} from './queue-meter.js';
 
 const summaryMilliseconds = 1000;
-/** From this share of its time on a process is short of it: what arrives waits for several others. */
-const busyShare = 0.7;
+/** From this utilization on the process is short of processor time: an arriving request waits for several others. */
+const busyThreshold = 0.7;
 
 /**
- * How much of its time the process is at work, and how long a turn of the event loop takes. Failure: an instance runs out of
- * processor time, and all that it does is late. Symptom: requests wait before any decision is logged, and neither the line nor the
- * endpoints explain it. One line a second tells so while it lasts.
+ * Measures the utilization of the event loop and the duration of its turns, and logs one line a second while the process is
+ * short of time. An instance without processor time is late in everything: requests wait before any decision is logged, and
+ * neither the queue nor the endpoints explain it.
  */
 export class EventLoopMonitor implements Disposable {
-	/** `line` tells what was done for requests that wait for a place since it was asked last. */
-	static create(logger: PartLogger, metrics: Metrics, line: () => LineActivity): EventLoopMonitor {
-		return new EventLoopMonitor(logger, metrics, line);
+	/** `queueActivity` returns the queue statistics since its previous call. */
+	static create(logger: PartLogger, metrics: Metrics, queueActivity: () => QueueActivity): EventLoopMonitor {
+		return new EventLoopMonitor(logger, metrics, queueActivity);
 	}
 
-	/** The part of the last second in which it was at work, 0 to 1. */
-	busy = 0;
+	/** Utilization of the event loop in the last second, 0 to 1. */
+	utilization = 0;
 	readonly #logger: PartLogger;
 	readonly #timer: NodeJS.Timeout;
-	readonly #line: () => LineActivity;
-	#before = performance.eventLoopUtilization();
+	readonly #queueActivity: () => QueueActivity;
+	#previous = performance.eventLoopUtilization();
 	#longestTurn = 0;
 	#requests = 0;
 	#wasBusy = false;
 
-	private constructor(logger: PartLogger, metrics: Metrics, line: () => LineActivity) {
+	private constructor(logger: PartLogger, metrics: Metrics, queueActivity: () => QueueActivity) {
 		this.#logger = logger;
-		this.#line = line;
-		metrics.observe('gateway_processor_busy', 'Part of the last second in which the event loop was at work.', () => this.busy);
+		this.#queueActivity = queueActivity;
+		metrics.observe('gateway_processor_busy', 'Share of the last second in which the event loop was busy.', () => this.utilization);
 		this.#timer = setInterval(() => {
-			this.#summarise();
+			this.#logSummary();
 		}, summaryMilliseconds).unref();
 	}
 
@@ -40,20 +40,20 @@
 		clearInterval(this.#timer);
 	}
 
-	/** A request was read; its turn of the event loop took so long. */
-	noteTurn(milliseconds: number): void {
+	/** Records how long the turn of the event loop took in which a request was read. */
+	recordTurn(milliseconds: number): void {
 		this.#requests += 1;
 		this.#longestTurn = Math.max(this.#longestTurn, milliseconds);
 	}
 
-	#summarise(): void {
+	#logSummary(): void {
 		const now = performance.eventLoopUtilization();
-		this.busy = performance.eventLoopUtilization(now, this.#before).utilization;
-		this.#before = now;
-		const isBusy = this.busy >= busyShare;
-		const line = this.#line();
+		this.utilization = performance.eventLoopUtilization(now, this.#previous).utilization;
+		this.#previous = now;
+		const isBusy = this.utilization >= busyThreshold;
+		const queueActivity = this.#queueActivity();
 		if (isBusy || this.#wasBusy) {
-			this.#logger.info(isBusy ? 'Busy.' : 'No longer busy.', {share: rounded(this.busy), longestTurn: rounded(this.#longestTurn), requests: this.#requests, ...line});
+			this.#logger.info(isBusy ? 'Busy.' : 'No longer busy.', {share: rounded(this.utilization), longestTurn: rounded(this.#longestTurn), requests: this.#requests, ...queueActivity});
 		}
 
 		this.#wasBusy = isBusy;
--- a/src/gateway/event-splitter.ts
+++ b/src/gateway/event-splitter.ts
@@ -1,15 +1,15 @@
 import {Buffer} from 'node:buffer';
 
-/** One whole event of a stream, as the endpoint wrote it. */
+/** A complete event of a stream, as the endpoint wrote it. */
 export type StreamEvent = {readonly bytes: Uint8Array; readonly id: string | undefined};
 
-/** An event that does not end within so many bytes is not one. */
-export const largestEventBytes = 1024 * 1024;
+/** Limit of the size of one event. */
+export const maxEventBytes = 1024 * 1024;
 
 /**
- * Cuts a stream into whole events, each with its closing blank line. Failure: an endpoint stops in the
- * middle of an event and another one goes on. Symptom: the caller reads half an event joined to a
- * whole one. Nothing but whole events leaves here, so the cut falls between two.
+ * Splits a stream into complete events, each with its closing blank line. Only complete events are forwarded, so that a stream
+ * can continue at another endpoint between two events; if an endpoint stopped in the middle of one, the caller would read half
+ * an event joined to a complete one.
  */
 export class EventSplitter {
 	static create(): EventSplitter {
@@ -18,7 +18,7 @@
 
 	#rest: Uint8Array = new Uint8Array();
 
-	/** Bytes of an event that has not ended. */
+	/** Bytes of an incomplete event. */
 	get rest(): Uint8Array {
 		return this.#rest;
 	}
@@ -34,8 +34,8 @@
 		}
 
 		this.#rest = buffer.subarray(start);
-		if (this.#rest.length > largestEventBytes) {
-			throw new RangeError('An event is longer than any may be.');
+		if (this.#rest.length > maxEventBytes) {
+			throw new RangeError('An event exceeds the size limit.');
 		}
 
 		return events;
@@ -45,13 +45,13 @@
 type Searchable = {indexOf(text: string, start: number): number};
 
 function endOfEvent(buffer: Searchable, start: number): number {
-	const plain = buffer.indexOf('\n\n', start);
-	const carriage = buffer.indexOf('\r\n\r\n', start);
-	if (plain === -1 && carriage === -1) {
+	const lf = buffer.indexOf('\n\n', start);
+	const crlf = buffer.indexOf('\r\n\r\n', start);
+	if (lf === -1 && crlf === -1) {
 		return -1;
 	}
 
-	return carriage !== -1 && (plain === -1 || carriage < plain) ? carriage + 4 : plain + 2;
+	return crlf !== -1 && (lf === -1 || crlf < lf) ? crlf + 4 : lf + 2;
 }
 
 function idOf(text: string): string | undefined {
--- a/src/gateway/exchange-options.ts
+++ b/src/gateway/exchange-options.ts
@@ -8,7 +8,7 @@
 import {type Dispatcher} from './dispatcher.js';
 import {type RawHeaders, type RequestCodec, type RequestMetadata} from './types.js';
 
-/** One request, what it is judged by, and the parts that serve it. */
+/** One request, its routing context, and the components that serve it. */
 export type ExchangeOptions = {
 	readonly facts: RequestMetadata;
 	readonly method: string;
@@ -22,17 +22,17 @@
 	readonly caller: Caller;
 	readonly codec: RequestCodec;
 	readonly dispatcher: Dispatcher;
-	readonly channels: ConnectionPools;
+	readonly connectionPools: ConnectionPools;
 	readonly log: DecisionLog;
-	/** When its first byte was here, on the monotonic clock. */
+	/** Arrival of its first byte, on the monotonic clock. */
 	readonly arrivedAt: number;
 };
 
-/** What an exchange waits for. Events of an attempt carry its number, so that a stale one shows. */
+/** Events that an exchange waits for. Events of an attempt carry its number, so that stale ones are recognised. */
 export type ExchangeEvent
 	= | AlarmEvent
 		| {readonly type: 'left'}
 		| {readonly type: 'drained'}
 		| {readonly type: 'decided'; readonly decision: Decision}
-	/** What bytes have led to; those that go on are passed in the turn in which they came. */
+	/** How the received bytes ended an attempt. Bytes that don't end it are forwarded in the event loop turn in which they arrive. */
 		| {readonly type: 'outcome'; readonly number: number; readonly outcome: Outcome};
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -2,22 +2,22 @@
 import {combineVerdicts, Verdict} from '../model/index.js';
 import {type Demand, failoverAt} from '../policy/dispatch/index.js';
 import {type EndpointRecord, RouteKind} from '../routing/index.js';
-import {AnswerPasser} from './response-forwarder.js';
+import {ResponseForwarder} from './response-forwarder.js';
 import {Attempt} from './attempt.js';
-import {AttemptFollower, type Outcome} from './attempt-state.js';
+import {AttemptState, type Outcome} from './attempt-state.js';
 import {type Decision} from './decision.js';
 import {type ExchangeEvent, type ExchangeOptions} from './exchange-options.js';
-import {answerFinally} from './error-response.js';
+import {sendErrorResponse} from './error-response.js';
 import {demandOf, placementRequestOf} from './placement-request.js';
 
-/** Events of one exchange that may wait: no more than one of each kind is ever under way. */
+/** Capacity of the inbox: at most one event of each kind is pending at a time. */
 const inboxCapacity = 16;
-/** Less than this left is no time to run anything in. */
-const leastMilliseconds = 15;
-/** Refused callers without a better figure come back after so long. */
+/** With less time than this left, an attempt is not started. */
+const minRunMilliseconds = 15;
+/** Retry delay for refused callers where there is no better estimate. */
 const defaultRetryMilliseconds = 300;
 
-/** One request from its whole arrival to its final answer. */
+/** One request, from its complete arrival to the final response. */
 export class Exchange {
 	static create(options: ExchangeOptions): Exchange {
 		return new Exchange(options);
@@ -26,25 +26,25 @@
 	readonly #options: ExchangeOptions;
 	readonly #inbox = channel<ExchangeEvent>(inboxCapacity);
 	readonly #alarm = Alarm.create(this.#inbox);
-	readonly #limitAt: number;
+	readonly #deadlineAt: number;
 	readonly #demand: Demand;
 	readonly #excluded = new Set<string>();
 	#verdict: Verdict = Verdict.notRun;
-	#sendings = 0;
-	#runs = 0;
+	#attempts = 0;
+	#possibleRuns = 0;
 	#attemptNumber = 0;
-	readonly #answer: AnswerPasser;
+	readonly #forwarder: ResponseForwarder;
 	#waitedMilliseconds = 0;
 
 	private constructor(options: ExchangeOptions) {
 		this.#options = options;
-		this.#limitAt = options.arrivedAt + Math.min(options.route.timeoutMilliseconds, options.facts.deadlineMilliseconds ?? Infinity);
+		this.#deadlineAt = options.arrivedAt + Math.min(options.route.timeoutMilliseconds, options.facts.deadlineMilliseconds ?? Infinity);
 		this.#demand = demandOf(options);
-		this.#answer = AnswerPasser.create({
+		this.#forwarder = ResponseForwarder.create({
 			caller: options.caller,
 			codec: options.codec,
-			onFirstEvent(follower) {
-				options.dispatcher.recordFirstEvent(follower.decision.runId);
+			onFirstEvent(state) {
+				options.dispatcher.recordFirstEvent(state.decision.runId);
 			},
 			onDrained: () => {
 				tryDeliver(this.#inbox, {type: 'drained'});
@@ -57,38 +57,38 @@
 		return route.kind === RouteKind.safe || (route.kind === RouteKind.stream && route.resumable);
 	}
 
-	/** Runs until the final answer is out or the caller has left. */
+	/** Runs until the final response is sent or the caller has disconnected. */
 	* run(): Body<void> {
 		using alarm = this.#alarm;
 		const {caller, dispatcher, service} = this.#options;
-		caller.onLeft(() => {
+		caller.onDisconnect(() => {
 			tryDeliver(this.#inbox, {type: 'left'});
 		});
 		dispatcher.retries.countRequest(service, performance.now());
 		for (;;) {
-			const decision = yield * this.#place();
+			const decision = yield * this.#awaitPlacement();
 			if (decision === undefined) {
 				return;
 			}
 
-			const outcome = yield * this.#attempt(decision, alarm);
-			if (!this.#goesOn(outcome)) {
+			const outcome = yield * this.#runAttempt(decision, alarm);
+			if (!this.#shouldRetry(outcome)) {
 				return;
 			}
 		}
 	}
 
-	/** Waits for a place; undefined once the exchange is over without one. */
-	* #place(): Body<Extract<Decision, {type: 'placed'}> | undefined> {
+	/** Waits for a placement; undefined if the exchange ended without one. */
+	* #awaitPlacement(): Body<Extract<Decision, {type: 'placed'}> | undefined> {
 		const {facts, dispatcher, caller, log, route, arrivedAt, codec} = this.#options;
 		const now = performance.now();
-		const patienceAt = caller.hasAnswer ? Infinity : arrivedAt + codec.patienceMilliseconds(route);
-		const ticketId = `${facts.id}#${this.#sendings}`;
-		this.#alarm.set(this.#limitAt - now);
+		const patienceAt = caller.hasResponse ? Infinity : arrivedAt + codec.patienceMilliseconds(route);
+		const placementId = `${facts.id}#${this.#attempts}`;
+		this.#alarm.set(this.#deadlineAt - now);
 		dispatcher.submit({
 			...placementRequestOf(this.#options, this.#demand),
-			id: ticketId,
-			lastStartAt: Math.min(this.#limitAt - leastMilliseconds, patienceAt),
+			id: placementId,
+			lastStartAt: Math.min(this.#deadlineAt - minRunMilliseconds, patienceAt),
 			excluded: this.#excluded,
 			isIdempotent: this.#isIdempotent,
 			onDecision: decision => {
@@ -103,23 +103,23 @@
 					return event.decision;
 				}
 
-				log.refused(this.#options, event.decision, this.#waitedMilliseconds);
+				log.logRefusal(this.#options, event.decision, this.#waitedMilliseconds);
 
 				this.#finish({type: 'failed', verdict: this.#verdict, reason: event.decision.reason}, event.decision.retryAfterMilliseconds);
 				return undefined;
 			}
 
 			if (event.type === 'left' || (event.type === 'alarm' && this.#alarm.hasFired)) {
-				dispatcher.withdraw(ticketId);
-				this.#returnLatePlace();
+				dispatcher.cancel(placementId);
+				this.#releaseLatePlacement();
 				this.#finish(event.type === 'left' ? {type: 'left'} : {type: 'expired'});
 				return undefined;
 			}
 		}
 	}
 
-	/** A place may have been given in the same turn in which the caller left: it is given back. */
-	#returnLatePlace(): void {
+	/** Releases a placement that was made in the turn of the event loop in which the caller disconnected. */
+	#releaseLatePlacement(): void {
 		for (let event = tryReceive(this.#inbox); event !== undefined; event = tryReceive(this.#inbox)) {
 			if (event.type === 'decided' && event.decision.type === 'placed') {
 				this.#options.dispatcher.recordEnd(event.decision.runId);
@@ -127,17 +127,17 @@
 		}
 	}
 
-	/** One sending, followed to its end. */
-	* #attempt(decision: Extract<Decision, {type: 'placed'}>, alarm: Alarm): Body<Outcome> {
-		const {dispatcher, channels, codec, facts, method, path, rawHeaders, body, workspace, route} = this.#options;
+	/** Runs one attempt to its end. */
+	* #runAttempt(decision: Extract<Decision, {type: 'placed'}>, alarm: Alarm): Body<Outcome> {
+		const {dispatcher, connectionPools, codec, facts, method, path, rawHeaders, body, workspace, route} = this.#options;
 		const {record, runId} = decision;
-		const left = this.#limitAt - performance.now();
-		if (left < leastMilliseconds || this.#options.caller.hasLeft) {
+		const remaining = this.#deadlineAt - performance.now();
+		if (remaining < minRunMilliseconds || this.#options.caller.hasDisconnected) {
 			dispatcher.recordEnd(runId);
-			return this.#options.caller.hasLeft ? {type: 'left'} : {type: 'expired'};
+			return this.#options.caller.hasDisconnected ? {type: 'left'} : {type: 'expired'};
 		}
 
-		this.#sendings += 1;
+		this.#attempts += 1;
 		this.#attemptNumber += 1;
 		const number = this.#attemptNumber;
 		const attempt = Attempt.start({
@@ -146,37 +146,37 @@
 			path,
 			headers: codec.requestHeaders({
 				rawHeaders, bodyBytes: body?.length, endpoint: record.id, workspace,
-				remainingMilliseconds: Math.floor(left), resumeAfter: this.#answer.lastEventId, fetchFrom: decision.fetch?.address, route,
+				remainingMilliseconds: Math.floor(remaining), resumeAfter: this.#forwarder.lastEventId, fetchFrom: decision.fetch?.address, route,
 			}),
 			body,
-			connectionPool: channels.of(record, this.#options.table.service(record.service)?.largestConnections),
+			connectionPool: connectionPools.forEndpoint(record, this.#options.table.service(record.service)?.largestConnections),
 			onEvent: event => {
-				const outcome = this.#answer.take(follower, event);
+				const outcome = this.#forwarder.handle(state, event);
 				if (outcome !== undefined) {
 					attempt.cancel();
 					tryDeliver(this.#inbox, {type: 'outcome', number, outcome});
 				}
 			},
 		});
-		const follower: AttemptFollower = AttemptFollower.create({attempt, number, decision, isStream: route.kind === RouteKind.stream, requestId: facts.id, codec});
-		const outcome = yield * this.#follow(follower, alarm);
+		const state: AttemptState = AttemptState.create({attempt, number, decision, isStream: route.kind === RouteKind.stream, requestId: facts.id, codec});
+		const outcome = yield * this.#awaitOutcome(state, alarm);
 		attempt.cancel();
-		this.#answer.isPaused = false;
+		this.#forwarder.isPaused = false;
 		dispatcher.recordEnd(runId);
 		this.#excluded.add(record.id);
-		this.#judge(record, outcome, follower);
-		this.#options.log.sent(this.#options, decision, {
-			waitedMilliseconds: this.#waitedMilliseconds, startedAt: follower.startedAt, firstEventAt: follower.firstEventAt, events: follower.events, pauseMilliseconds: follower.longestPauseMilliseconds,
-			outcome: outcome.type, reason: outcome.type === 'failed' ? outcome.reason : undefined, status: follower.status,
+		this.#reportOutcome(record, outcome, state);
+		this.#options.log.logAttempt(this.#options, decision, {
+			waitedMilliseconds: this.#waitedMilliseconds, startedAt: state.startedAt, firstEventAt: state.firstEventAt, events: state.events, pauseMilliseconds: state.longestPauseMilliseconds,
+			outcome: outcome.type, reason: outcome.type === 'failed' ? outcome.reason : undefined, status: state.status,
 		});
 		return outcome;
 	}
 
-	* #follow(follower: AttemptFollower, alarm: Alarm): Body<Outcome> {
+	* #awaitOutcome(state: AttemptState, alarm: Alarm): Body<Outcome> {
 		const sentAt = performance.now();
 		for (;;) {
-			// What moves the alarm further away is seen when it fires.
-			alarm.set(this.#nextAlarm(follower, sentAt));
+			// If the next timeout moves later, this shows when the timer fires.
+			alarm.set(this.#nextAlarm(state, sentAt));
 			const event = (yield * receive(this.#inbox))!;
 			switch (event.type) {
 				case 'left': {
@@ -184,8 +184,8 @@
 				}
 
 				case 'drained': {
-					this.#answer.isPaused = false;
-					follower.attempt.resume();
+					this.#forwarder.isPaused = false;
+					state.attempt.resume();
 					break;
 				}
 
@@ -194,7 +194,7 @@
 				}
 
 				case 'alarm': {
-					const outcome = alarm.hasFired ? this.#timeOut(follower, sentAt) : undefined;
+					const outcome = alarm.hasFired ? this.#checkTimeouts(state, sentAt) : undefined;
 					if (outcome !== undefined) {
 						return outcome;
 					}
@@ -203,7 +203,7 @@
 				}
 
 				case 'outcome': {
-					if (event.number === follower.number) {
+					if (event.number === state.number) {
 						return event.outcome;
 					}
 				}
@@ -211,83 +211,86 @@
 		}
 	}
 
-	#nextAlarm(follower: AttemptFollower, sentAt: number): number {
+	#nextAlarm(state: AttemptState, sentAt: number): number {
 		const now = performance.now();
-		return Math.max(0, Math.min(this.#limitAt, this.#moveAt(follower, sentAt), follower.suspectAt ?? Infinity) - now);
+		return Math.max(0, Math.min(this.#deadlineAt, this.#failoverAt(state, sentAt), state.suspectAt ?? Infinity) - now);
 	}
 
-	/** When the request goes elsewhere, because this endpoint is silent; never, if it may run only once. */
-	#moveAt(follower: AttemptFollower, sentAt: number): number {
+	/** When the request is retried elsewhere because this endpoint is silent; never if it may run only once. */
+	#failoverAt(state: AttemptState, sentAt: number): number {
 		const {route} = this.#options;
-		if (!this.#isIdempotent || this.#runs + 1 >= route.largestAttempts || this.#answer.isPaused) {
+		if (!this.#isIdempotent || this.#possibleRuns + 1 >= route.largestAttempts || this.#forwarder.isPaused) {
 			return Infinity;
 		}
 
 		const {targetMilliseconds, longestPauseMilliseconds} = route;
-		return failoverAt({sentAt, lastEventAt: follower.lastEventAt, targetMilliseconds, longestPauseMilliseconds, expectedMilliseconds: follower.decision.expectedMilliseconds});
+		return failoverAt({sentAt, lastEventAt: state.lastEventAt, targetMilliseconds, longestPauseMilliseconds, expectedMilliseconds: state.decision.expectedMilliseconds});
 	}
 
-	#timeOut(follower: AttemptFollower, sentAt: number): Outcome | undefined {
+	#checkTimeouts(state: AttemptState, sentAt: number): Outcome | undefined {
 		const now = performance.now();
-		if (now >= this.#limitAt) {
+		if (now >= this.#deadlineAt) {
 			return {type: 'expired'};
 		}
 
-		if (follower.suspectAt !== undefined && now >= follower.suspectAt) {
-			follower.suspectAt = undefined;
-			this.#options.dispatcher.endpoints.report(follower.decision.record, 'unreachable');
+		if (state.suspectAt !== undefined && now >= state.suspectAt) {
+			state.suspectAt = undefined;
+			this.#options.dispatcher.endpoints.report(state.decision.record, 'unreachable');
 		}
 
-		if (now >= this.#moveAt(follower, sentAt) && this.#options.dispatcher.endpoints.hasAnother(this.#demand.service, this.#excluded, follower.decision.record)) {
+		if (now >= this.#failoverAt(state, sentAt) && this.#options.dispatcher.endpoints.hasAnother(this.#demand.service, this.#excluded, state.decision.record)) {
 			return {type: 'failed', verdict: Verdict.mayHaveRun, reason: 'silent'};
 		}
 
-		// Nothing else to go to: look again after another pause.
-		follower.lastEventAt = follower.lastEventAt === undefined ? undefined : now;
+		// No other endpoint is available: check again after another pause.
+		state.lastEventAt = state.lastEventAt === undefined ? undefined : now;
 		return undefined;
 	}
 
-	#judge(record: EndpointRecord, outcome: Outcome, follower: AttemptFollower): void {
+	#reportOutcome(record: EndpointRecord, outcome: Outcome, state: AttemptState): void {
 		const {dispatcher} = this.#options;
 		if (outcome.type === 'done') {
 			dispatcher.endpoints.report(record, 'answered');
-			if (!follower.isStream && follower.decision.candidates > 0) {
-				dispatcher.loadTracker.recordServiceTime(record.service, performance.now() - follower.startedAt);
+			if (!state.isStream && state.decision.candidates > 0) {
+				dispatcher.loadTracker.recordServiceTime(record.service, performance.now() - state.startedAt);
 			}
 		} else if (outcome.type === 'failed') {
-			dispatcher.endpoints.report(record, follower.status > 0 && outcome.verdict !== Verdict.mayHaveRun ? 'failed' : 'unreachable');
+			dispatcher.endpoints.report(record, state.status > 0 && outcome.verdict !== Verdict.mayHaveRun ? 'failed' : 'unreachable');
 		}
 	}
 
-	/** Decides whether the request is sent again; if not, its final answer goes out at once. */
-	#goesOn(outcome: Outcome): boolean {
+	/** Decides whether the request is retried; if not, its final response is sent at once. */
+	#shouldRetry(outcome: Outcome): boolean {
 		if (outcome.type !== 'failed') {
 			this.#finish(outcome);
 			return false;
 		}
 
 		const {route, dispatcher, service, caller} = this.#options;
-		this.#runs += outcome.verdict === Verdict.notRun ? 0 : 1;
+		this.#possibleRuns += outcome.verdict === Verdict.notRun ? 0 : 1;
 		this.#verdict = combineVerdicts(this.#verdict, outcome.verdict);
-		const mayRepeat = outcome.verdict === Verdict.notRun || (this.#isIdempotent && this.#runs < route.largestAttempts);
-		const canContinue = !caller.hasAnswer || (route.kind === RouteKind.stream && route.resumable && this.#answer.lastEventId !== undefined);
+		const mayRepeat = outcome.verdict === Verdict.notRun || (this.#isIdempotent && this.#possibleRuns < route.largestAttempts);
+		const canContinue = !caller.hasResponse || (route.kind === RouteKind.stream && route.resumable && this.#forwarder.lastEventId !== undefined);
 		const now = performance.now();
-		const goesOn = mayRepeat && canContinue && !caller.hasLeft && this.#limitAt - now > leastMilliseconds
+		const shouldRetry = mayRepeat && canContinue && !caller.hasDisconnected && this.#deadlineAt - now > minRunMilliseconds
 			&& (outcome.isUnsent === true || dispatcher.retries.takeRetry(service, dispatcher.view.instances, now));
-		if (!goesOn) {
+		if (!shouldRetry) {
 			this.#finish(outcome);
 		}
 
-		return goesOn;
+		return shouldRetry;
 	}
 
 	#finish(outcome: Outcome, retryAfterMilliseconds = defaultRetryMilliseconds): void {
 		const {caller, codec, facts, log} = this.#options;
-		log.finished(this.#options, {outcome: outcome.type, reason: outcome.type === 'failed' ? outcome.reason : undefined, sendings: this.#sendings, verdict: this.#verdict, firstEventAt: this.#answer.firstEventAt});
+		log.logResult(this.#options, {
+			outcome: outcome.type, reason: outcome.type === 'failed' ? outcome.reason : undefined, sendings: this.#attempts,
+			verdict: this.#verdict, firstEventAt: this.#forwarder.firstEventAt,
+		});
 		if (outcome.type === 'done' || outcome.type === 'left') {
 			return;
 		}
 
-		answerFinally({caller, codec, facts}, outcome, {verdict: this.#verdict, hasBeenSent: this.#sendings > 0, retryAfterMilliseconds});
+		sendErrorResponse({caller, codec, facts}, outcome, {verdict: this.#verdict, hasBeenSent: this.#attempts > 0, retryAfterMilliseconds});
 	}
 }
--- a/src/gateway/feed-follower.ts
+++ b/src/gateway/feed-follower.ts
@@ -4,41 +4,44 @@
 import {type PartLogger} from '../telemetry/index.js';
 import {type Feed, type FeedPage, type FeedReading} from './types.js';
 
-/** Two eras of the store, as one feed has met them. */
+/**
+ * A change of the store's era as seen by one feed. The era is the generation number of the store's log and rises when the
+ * store is restored from a backup.
+ */
 export type EraChange = {readonly feed: string; readonly before: LogPosition; readonly after: LogPosition};
 
 export type FeedFollowerOptions<Item> = {
 	readonly feed: Feed<Item>;
 	readonly logger: PartLogger;
 	readonly random: () => number;
-	/** Instances that read too and tell this one. */
-	readonly others: () => number;
-	/** What is read is to be known at every instance within this. */
+	/** Number of other instances that poll the store and notify this one. */
+	readonly otherInstances: () => number;
+	/** Time within which a change must be known at every instance. */
 	readonly applyMilliseconds: number;
-	/** How long one reading may wait for the first change; 0 reads what is there. */
+	/** How long a read may wait at the store for the first change; 0 returns what is there. */
 	readonly waitMilliseconds: (reading: LongPoll) => number;
-	/** From the end of one reading to the start of the next, after so many readings. */
+	/** From the end of one read to the start of the next, by the number of reads so far. */
 	readonly pauseMilliseconds: (pause: PollPosition) => number;
-	/** Changes in their order. */
+	/** Called with changes in their order. */
 	readonly onChanges: (items: readonly Item[]) => void;
-	/** Everything that the store names, read in an era; returns how much of what it lacks is kept on trust. */
-	readonly onWhole: (items: readonly Item[], era: number) => number;
-	/** The store answered a call with nothing, or with nothing of use: it may do so with others too. */
+	/** Called with a snapshot and its era; returns how many entries that it lacks are kept as unconfirmed. */
+	readonly onSnapshot: (items: readonly Item[], era: number) => number;
+	/** Called when a call got no response or an unusable one; other calls to the store may be affected too. */
 	readonly onFailed: () => void;
-	/** The store has come back from a copy, and everything was read anew. */
+	/** Called when a snapshot has been read after the store was restored from a backup. */
 	readonly onEra: (change: EraChange) => void;
 };
 
-/** A longer pause is looked at again so often, since others may come and go meanwhile. */
-const lookMilliseconds = 1400;
+/** A longer pause is computed again this often, since the number of instances may change meanwhile. */
+const pauseCheckMilliseconds = 1400;
 
-/** All instances notice a new era within moments, and each reads everything anew: spread over so long. */
+/** All instances notice a new era within moments and read a snapshot; their reads are spread over this time. */
 const eraSpreadMilliseconds = 500;
 
 /**
- * Keeps up with one feed for as long as the process lives. Failures: history dropped under us, a store
- * that is down, slow, refuses this instance, answers from an older state or comes back from a copy. Each of them ends in a
- * reading of the newest values, and what was believed before stands until then.
+ * Follows one feed for the lifetime of the process. It handles history that the store no longer retains, and a store that is
+ * down, slow, refuses this instance, responds from an older state or was restored from a backup: each case ends with a new
+ * snapshot, and the previous state stays in force until then.
  */
 export class FeedFollower<Item> implements AsyncDisposable {
 	static start<Item>(options: FeedFollowerOptions<Item>): FeedFollower<Item> {
@@ -48,29 +51,29 @@
 	}
 
 	readonly #options: FeedFollowerOptions<Item>;
-	/** Where changes go on; undefined before everything was read. */
+	/** Position of the next changes; undefined until a snapshot was read. */
 	#next: LogPosition | undefined;
-	/** Where they went on before the store came back from a copy. */
-	#lost: LogPosition | undefined;
+	/** Position before the store was restored from a backup. */
+	#positionBeforeRestore: LogPosition | undefined;
 	readonly #wake = channel<'look'>(1);
-	/** The reading that waits for a change, if one does. */
-	#waiting: AbortController | undefined;
-	#isDoubted = false;
+	/** Aborts the long poll that is in progress, if any. */
+	#longPoll: AbortController | undefined;
+	#isStoreUnresponsive = false;
 	#failures = 0;
-	#readings = 0;
-	/** Readings since the last change or failure. */
-	#calmReadings = 0;
+	#polls = 0;
+	/** Reads since the last change or failure. */
+	#quietPolls = 0;
 	#isStopped = false;
 	#lastReadAt = -Infinity;
 
 	private constructor(options: FeedFollowerOptions<Item>) {
 		this.#options = options;
 		options.feed.onEra(() => {
-			this.look();
+			this.pollNow();
 		});
 	}
 
-	/** Milliseconds since the store last answered. */
+	/** Milliseconds since the last response of the store. */
 	millisecondsSinceRead(now: number): number {
 		return now - this.#lastReadAt;
 	}
@@ -79,45 +82,45 @@
 		return this.#failures === 0 && this.#next !== undefined;
 	}
 
-	/** Ends the pause: there may be something to read. */
-	look(): void {
+	/** Ends the pause and reads again. */
+	pollNow(): void {
 		tryDeliver(this.#wake, 'look');
 	}
 
 	/**
-	 * Gives up a reading that waits for a change, and asks for what is there. Failure: the connection on which it waits went silent, or the
-	 * store did. Symptom: nothing comes on it for as long as its wait lasts, though the store has been back for long.
+	 * Aborts a long poll and reads what is there. Without this, a long poll on a connection that went silent, or from a store
+	 * that did, would bring nothing until its wait is over, long after the store has recovered.
 	 */
 	abortLongPoll(): void {
-		if (this.#waiting !== undefined) {
-			this.#options.logger.info('Waiting reading given up, asking the store at once.', {feed: this.#options.feed.name});
-			this.#isDoubted = true;
-			this.#waiting.abort();
-			this.#waiting = undefined;
+		if (this.#longPoll !== undefined) {
+			this.#options.logger.info('Long poll aborted, reading from the store at once.', {feed: this.#options.feed.name});
+			this.#isStoreUnresponsive = true;
+			this.#longPoll.abort();
+			this.#longPoll = undefined;
 		}
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
 		this.#isStopped = true;
-		this.#waiting?.abort();
-		this.look();
+		this.#longPoll?.abort();
+		this.pollNow();
 	}
 
 	* #run(): Body<void> {
 		while (!this.#isStopped) {
 			try {
-				yield * this.#readOnce();
-				this.#regained();
+				yield * this.#pollOnce();
+				this.#recordSuccess();
 			} catch (error) {
-				yield * this.#failed(error);
+				yield * this.#handleFailure(error);
 			}
 		}
 	}
 
-	* #readOnce(): Body<void> {
+	* #pollOnce(): Body<void> {
 		const {feed, logger} = this.#options;
 		if (this.#next === undefined) {
-			this.#takeWhole(yield * wait(feed.readSnapshot()));
+			this.#applySnapshot(yield * wait(feed.readSnapshot()));
 			yield * this.#pause();
 			return;
 		}
@@ -125,7 +128,7 @@
 		const reading = yield * this.#readChanges(this.#next);
 		switch (reading.type) {
 			case 'page': {
-				this.#takeChanges(reading.page);
+				this.#applyChanges(reading.page);
 				yield * this.#pause();
 				return;
 			}
@@ -141,49 +144,49 @@
 			}
 
 			case 'new-era': {
-				this.#lost = this.#next;
+				this.#positionBeforeRestore = this.#next;
 				this.#next = undefined;
-				this.#readings = 0;
+				this.#polls = 0;
 				yield * sleep(this.#options.random() * eraSpreadMilliseconds);
 			}
 		}
 	}
 
 	* #readChanges(from: LogPosition): Body<FeedReading<Item>> {
-		const {feed, others, waitMilliseconds} = this.#options;
-		const milliseconds = waitMilliseconds({others: others(), polls: this.#calmReadings, isStoreUnresponsive: this.#isDoubted});
-		const reading = new AbortController();
-		this.#waiting = milliseconds > 0 ? reading : undefined;
+		const {feed, otherInstances, waitMilliseconds} = this.#options;
+		const milliseconds = waitMilliseconds({others: otherInstances(), polls: this.#quietPolls, isStoreUnresponsive: this.#isStoreUnresponsive});
+		const controller = new AbortController();
+		this.#longPoll = milliseconds > 0 ? controller : undefined;
 		try {
-			return yield * wait(feed.readChanges(from, milliseconds, reading.signal));
+			return yield * wait(feed.readChanges(from, milliseconds, controller.signal));
 		} finally {
-			this.#waiting = undefined;
+			this.#longPoll = undefined;
 		}
 	}
 
-	/** What the pause depends on may change while it lasts. */
+	/** Waits before the next read. The length of the pause may change while it lasts. */
 	* #pause(): Body<void> {
-		this.#readings += 1;
+		this.#polls += 1;
 		const {pauseMilliseconds, random} = this.#options;
 		const from = performance.now();
-		const pause = {polls: this.#readings, draw: random()};
+		const pause = {polls: this.#polls, draw: random()};
 		for (;;) {
-			const left = pauseMilliseconds(pause) - (performance.now() - from);
-			if (left <= 0 || this.#isStopped) {
+			const remaining = pauseMilliseconds(pause) - (performance.now() - from);
+			if (remaining <= 0 || this.#isStopped) {
 				return;
 			}
 
-			const woken = yield * receiveWithin(this.#wake, Math.min(left, lookMilliseconds));
+			const woken = yield * receiveWithin(this.#wake, Math.min(remaining, pauseCheckMilliseconds));
 			if (woken.type === 'value') {
 				return;
 			}
 		}
 	}
 
-	#takeChanges({items, next}: FeedPage<Item>): void {
-		this.#noteRead();
-		this.#calmReadings = items.length > 0 || this.#isDoubted ? 0 : this.#calmReadings + 1;
-		this.#isDoubted = false;
+	#applyChanges({items, next}: FeedPage<Item>): void {
+		this.#recordRead();
+		this.#quietPolls = items.length > 0 || this.#isStoreUnresponsive ? 0 : this.#quietPolls + 1;
+		this.#isStoreUnresponsive = false;
 		if (items.length > 0 && !this.#isStopped) {
 			this.#options.onChanges(items);
 		}
@@ -191,35 +194,35 @@
 		this.#next = next;
 	}
 
-	#takeWhole({items, next}: FeedPage<Item>): void {
-		this.#noteRead();
-		this.#calmReadings = 0;
-		this.#isDoubted = false;
+	#applySnapshot({items, next}: FeedPage<Item>): void {
+		this.#recordRead();
+		this.#quietPolls = 0;
+		this.#isStoreUnresponsive = false;
 		if (this.#isStopped) {
 			return;
 		}
 
-		const onTrust = this.#options.onWhole(items, next.era);
+		const unconfirmed = this.#options.onSnapshot(items, next.era);
 		this.#next = next;
-		if (this.#lost !== undefined) {
-			this.#tellEra({feed: this.#options.feed.name, before: this.#lost, after: next}, onTrust);
-			this.#lost = undefined;
+		if (this.#positionBeforeRestore !== undefined) {
+			this.#reportEra({feed: this.#options.feed.name, before: this.#positionBeforeRestore, after: next}, unconfirmed);
+			this.#positionBeforeRestore = undefined;
 		}
 	}
 
-	#tellEra(change: EraChange, onTrust: number): void {
+	#reportEra(change: EraChange, unconfirmed: number): void {
 		const {feed, before, after} = change;
-		this.#options.logger.warn('The store came back from a copy.', {feed, eraBefore: before.era, era: after.era, offsetBefore: before.offset, offset: after.offset, onTrust});
+		this.#options.logger.warn('The store came back from a copy.', {feed, eraBefore: before.era, era: after.era, offsetBefore: before.offset, offset: after.offset, onTrust: unconfirmed});
 		this.#options.onEra(change);
 	}
 
-	/** What the reading brings answers whatever asked for a look before it. */
-	#noteRead(): void {
+	/** Records a response. It also answers requests to read again that came before it. */
+	#recordRead(): void {
 		this.#lastReadAt = performance.now();
 		tryReceive(this.#wake);
 	}
 
-	#regained(): void {
+	#recordSuccess(): void {
 		if (this.#failures > 0) {
 			this.#options.logger.info('Store regained.', {feed: this.#options.feed.name, failures: this.#failures});
 		}
@@ -227,16 +230,16 @@
 		this.#failures = 0;
 	}
 
-	* #failed(error: unknown): Body<void> {
+	* #handleFailure(error: unknown): Body<void> {
 		this.#failures += 1;
-		this.#isDoubted = true;
+		this.#isStoreUnresponsive = true;
 		if (this.#failures === 1) {
 			this.#options.logger.warn('Store lost.', {feed: this.#options.feed.name, reason: String(error), era: this.#next?.era, offset: this.#next?.offset});
 		}
 
-		const {others, pauseMilliseconds, random, applyMilliseconds, onFailed} = this.#options;
+		const {otherInstances, pauseMilliseconds, random, applyMilliseconds, onFailed} = this.#options;
 		onFailed();
-		const usual = pauseMilliseconds({polls: this.#readings, draw: random()});
-		yield * sleep(pollRetryDelay({failures: this.#failures, others: others(), hasRead: this.#next !== undefined, pollIntervalMilliseconds: usual, applyMilliseconds}, random()));
+		const usualPause = pauseMilliseconds({polls: this.#polls, draw: random()});
+		yield * sleep(pollRetryDelay({failures: this.#failures, others: otherInstances(), hasRead: this.#next !== undefined, pollIntervalMilliseconds: usualPause, applyMilliseconds}, random()));
 	}
 }
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -18,7 +18,7 @@
 export type GatewayOptions = {
 	readonly host: string;
 	readonly port: number;
-	/** Bytes of callers' bodies that may be held at one time. */
+	/** Limit for the buffered bodies of all requests, in bytes. */
 	readonly maxBufferedBodyBytes: number;
 	readonly routingState: RoutingState;
 	readonly dispatcher: Dispatcher;
@@ -29,22 +29,22 @@
 	readonly logger: PartLogger;
 };
 
-/** Where memory for bodies is short: the time in which a few requests end. */
-const fullRetryMilliseconds = 300;
+/** Retry delay while memory for bodies is short: a few requests end within this time. */
+const bufferFullRetryMilliseconds = 300;
 /**
- * A planned stop. New connections come until the balancer has missed two of its questions, two seconds and
- * what an answer takes; the port stays open for this long, then connections that carry nothing are closed.
- * Failure: a long stream that is taken after three seconds of the stop has no time to end. Symptom: it is
- * cut in the middle. What comes later goes to another instance.
+ * How long the port stays open during a graceful shutdown; then idle connections are closed. The load balancer sends new
+ * connections until it has missed two health checks, two seconds and the time of a response. A long stream that is accepted
+ * three seconds after the start of the shutdown would not have time to end and would be truncated, so later requests must go
+ * to another instance.
  */
 export const drainListenMilliseconds = 2700;
-/** A whole request takes no longer to arrive than this, whatever its headers promise. */
-const requestMilliseconds = 30_000;
+/** A request must arrive completely within this time, whatever length its headers announce. */
+const requestTimeoutMilliseconds = 30_000;
 const defaultIdleMilliseconds = 15_000;
-/** A caller's headers together: prompts' parts take a few hundred bytes, so this is ample. */
-const largestHeaderBytes = 16_384;
+/** Limit for the headers of a request; prompt parts take a few hundred bytes of it. */
+const maxHeaderBytes = 16_384;
 
-/** The port of callers. */
+/** The HTTP server for callers. */
 export class Gateway implements AsyncDisposable {
 	static async create(options: GatewayOptions): Promise<Gateway> {
 		const gateway = new Gateway(options);
@@ -55,21 +55,21 @@
 
 	readonly #options: GatewayOptions;
 	readonly #server: Server;
-	readonly #idle = new Set<() => void>();
-	/** Those that have not been answered whole. */
-	readonly #open = new Set<ServerResponse>();
+	readonly #idleListeners = new Set<() => void>();
+	/** Responses that are not complete yet. */
+	readonly #openResponses = new Set<ServerResponse>();
 	readonly #startedAt = performance.now();
-	#heldBytes = 0;
+	#bufferedBytes = 0;
 	#isStopping = false;
 
 	private constructor(options: GatewayOptions) {
 		this.#options = options;
-		this.#server = createServer({maxHeaderSize: largestHeaderBytes, requestTimeout: requestMilliseconds, keepAliveTimeout: defaultIdleMilliseconds, noDelay: true}, (request, response) => {
+		this.#server = createServer({maxHeaderSize: maxHeaderBytes, requestTimeout: requestTimeoutMilliseconds, keepAliveTimeout: defaultIdleMilliseconds, noDelay: true}, (request, response) => {
 			void this.#accept(request, response);
 		});
 		this.#server.on('clientError', (error: NodeJS.ErrnoException, socket) => {
 			if (socket.writable && error.code !== 'ECONNRESET') {
-				options.log.turnedAway(undefined, 400, {reason: error.message});
+				options.log.logRejection(undefined, 400, {reason: error.message});
 				socket.end('HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n');
 			} else {
 				socket.destroy();
@@ -88,18 +88,18 @@
 	}
 
 	get openRequests(): number {
-		return this.#open.size;
+		return this.#openResponses.size;
 	}
 
 	get isReady(): boolean {
 		return !this.#isStopping && this.#options.routingState.table !== undefined && this.#options.routingState.directory.entries.size > 0;
 	}
 
-	/** Serves what is open and what still comes, and resolves once nothing is left. */
+	/** Serves open and arriving requests, and resolves once none is left. */
 	async drain(): Promise<void> {
 		this.#isStopping = true;
-		for (const response of this.#open) {
-			sayLast(response);
+		for (const response of this.#openResponses) {
+			announceClose(response);
 		}
 
 		await new Promise(resolve => {
@@ -107,9 +107,9 @@
 		});
 		this.#server.close();
 		this.#server.closeIdleConnections();
-		if (this.#open.size > 0) {
+		if (this.#openResponses.size > 0) {
 			await new Promise<void>(resolve => {
-				this.#idle.add(resolve);
+				this.#idleListeners.add(resolve);
 			});
 		}
 	}
@@ -123,50 +123,50 @@
 		const arrivedAt = performance.now();
 		const {socket} = request;
 		if (socket.writableEnded) {
-			// It crossed the close of its connection; nothing could be answered, so nothing is passed on.
+			// The request crossed the close of its connection. No response is possible, so it is not forwarded.
 			return;
 		}
 
-		this.#open.add(response);
+		this.#openResponses.add(response);
 		response.once('finish', () => {
 			if (this.#isStopping) {
 				socket.destroySoon();
 			}
 		});
 		response.once('close', () => {
-			this.#open.delete(response);
-			if (this.#open.size === 0 && this.#isStopping) {
-				for (const resolve of this.#idle) {
+			this.#openResponses.delete(response);
+			if (this.#openResponses.size === 0 && this.#isStopping) {
+				for (const resolve of this.#idleListeners) {
 					resolve();
 				}
 			}
 		});
 		if (this.#isStopping) {
-			sayLast(response);
+			announceClose(response);
 		}
 
 		await this.#serve(request, response, arrivedAt);
 	}
 
 	async #serve(request: IncomingMessage, response: ServerResponse, arrivedAt: number): Promise<void> {
-		const {routingState: beliefs, codec, log} = this.#options;
+		const {routingState, codec, log} = this.#options;
 		const caller = Caller.create(request, response);
 		const read = codec.readRequest(request.headers);
 		const facts = read.type === 'facts' ? read.facts : undefined;
-		const turnAway = (status: number, message: string, more: {retryAfterMilliseconds?: number; closesConnection?: boolean} = {}): void => {
-			log.turnedAway(facts?.id, status, {message, version: beliefs.table?.version});
+		const reject = (status: number, message: string, more: {retryAfterMilliseconds?: number; closesConnection?: boolean} = {}): void => {
+			log.logRejection(facts?.id, status, {message, version: routingState.table?.version});
 			request.resume();
-			caller.answer({status, message, headers: codec.gatewayResponseHeaders(facts), ...more});
+			caller.respond({status, message, headers: codec.gatewayResponseHeaders(facts), ...more});
 		};
 
-		const {table} = beliefs;
+		const {table} = routingState;
 		if (table === undefined) {
-			turnAway(503, 'No routing table yet; the request has not run.', {retryAfterMilliseconds: retryAfterWithoutTable(arrivedAt - this.#startedAt)});
+			reject(503, 'No routing table yet; the request has not run.', {retryAfterMilliseconds: retryAfterWithoutTable(arrivedAt - this.#startedAt)});
 			return;
 		}
 
 		if (read.type === 'wrong') {
-			turnAway(400, read.message);
+			reject(400, read.message);
 			return;
 		}
 
@@ -174,73 +174,73 @@
 		const route = table.findRoute(request.headers.host ?? '', path.split('?', 1)[0]!);
 		const service = route === undefined ? undefined : chooseService(route, hash32(read.facts.id) / 0x1_00_00_00_00);
 		if (route === undefined || service === undefined) {
-			turnAway(404, 'No route begins this path at this host.');
+			reject(404, 'No route begins this path at this host.');
 			return;
 		}
 
 		const access = table.access(route, read.facts.key);
 		if (access.type === 'unknown-key') {
-			turnAway(401, 'The key is unknown.');
+			reject(401, 'The key is unknown.');
 			return;
 		}
 
-		const announced = Number(request.headers['content-length'] ?? 0);
-		if (this.#heldBytes + announced > this.#options.maxBufferedBodyBytes) {
-			turnAway(503, 'Too many bodies are held; the request has not run.', {retryAfterMilliseconds: fullRetryMilliseconds});
+		const announcedBytes = Number(request.headers['content-length'] ?? 0);
+		if (this.#bufferedBytes + announcedBytes > this.#options.maxBufferedBodyBytes) {
+			reject(503, 'Too many bodies are held; the request has not run.', {retryAfterMilliseconds: bufferFullRetryMilliseconds});
 			return;
 		}
 
 		const outcome = await caller.readBody(table.limits.bodyBytes);
 		if (outcome.type === 'left') {
-			log.turnedAway(facts?.id, 0, {message: 'The caller left before its body was whole.'});
+			log.logRejection(facts?.id, 0, {message: 'The caller disconnected before its body was complete.'});
 			return;
 		}
 
 		if (outcome.type === 'too-large') {
-			turnAway(413, 'The body is longer than the limit.', {closesConnection: true});
+			reject(413, 'The body is longer than the limit.', {closesConnection: true});
 			return;
 		}
 
 		const readAt = performance.now();
 		await nextTurn();
-		this.#options.eventLoopMonitor.noteTurn(performance.now() - readAt);
-		if (caller.hasLeft) {
-			log.turnedAway(facts?.id, 0, {message: 'The caller left before its request was placed.'});
+		this.#options.eventLoopMonitor.recordTurn(performance.now() - readAt);
+		if (caller.hasDisconnected) {
+			log.logRejection(facts?.id, 0, {message: 'The caller disconnected before its request was placed.'});
 			return;
 		}
 
-		const held = outcome.body?.length ?? 0;
-		this.#heldBytes += held;
+		const bufferedBytes = outcome.body?.length ?? 0;
+		this.#bufferedBytes += bufferedBytes;
 		const exchange = Exchange.create({
 			facts: read.facts, method: request.method ?? 'GET', path, rawHeaders: request.rawHeaders, body: outcome.body, table, route, service,
-			workspace: access.workspace, caller, codec, dispatcher: this.#options.dispatcher, channels: this.#options.connectionPools, log, arrivedAt,
+			workspace: access.workspace, caller, codec, dispatcher: this.#options.dispatcher, connectionPools: this.#options.connectionPools, log, arrivedAt,
 		});
 		try {
 			await spawn('exchange', () => exchange.run());
 		} finally {
-			this.#heldBytes -= held;
+			this.#bufferedBytes -= bufferedBytes;
 		}
 	}
 }
 
 /**
- * Failure: a stream's head left before the stop, and its caller keeps the connection. Symptom: what it sends there
- * seconds later is taken, and cut by the stop's end. A head that has not left says that the connection
- * closes; where it has, the connection ends with the answer's last byte.
+ * Announces that the connection closes after this response, if its headers are not sent yet; otherwise the connection is
+ * closed after the response's last byte. Without this, a caller would keep its connection and send a request there seconds
+ * later, which the end of the shutdown would interrupt.
  */
-function sayLast(response: ServerResponse): void {
+function announceClose(response: ServerResponse): void {
 	if (!response.headersSent) {
 		response.setHeader('Connection', 'close');
 	}
 }
 
 /**
- * Failure: the process was starved, a request is read late, and its caller has long closed. Symptom:
- * endpoints work for nobody. The close is read in the next turn of the event loop at the latest, since
- * it arrived before; a turn is under a tenth of a millisecond for a process with time.
+ * Waits for the next turn of the event loop. If the process was short of processor time, a request is read late, when its
+ * caller may have disconnected long ago, and endpoints would work for nothing. The close arrived before, so it is read in the
+ * next turn at the latest; a turn takes less than a tenth of a millisecond if the process has time.
  */
 async function nextTurn(): Promise<void> {
-	// The first callback still belongs to this turn, and no socket is read between.
+	// The first callback still runs in this turn, and no socket is read before it.
 	for (let turn = 0; turn < 2; turn++) {
 		await new Promise<void>(resolve => {
 			setImmediate(resolve);
@@ -248,7 +248,7 @@
 	}
 }
 
-/** The path with its query; a request in absolute form is passed on in origin form. */
+/** The path with its query; a URL in absolute form is forwarded in origin form. */
 function pathOf({url = '/'}: IncomingMessage): string {
 	return url.startsWith('/') ? url : url.replace(/^\w+:\/\/[^\/]*/v, '');
 }
--- a/src/gateway/load-batch.ts
+++ b/src/gateway/load-batch.ts
@@ -1,8 +1,8 @@
 import {encodeLoad, type LoadEvent, type LoadRow} from '../policy/dispatch/index.js';
 
-/** Load that waits for what else happens within a few milliseconds, so that it leaves in one message. */
+/** Collects load events for a few milliseconds and sends them in one message. */
 export class LoadBatch {
-	/** `interval` says how long to wait, as it is when the first event comes. */
+	/** `interval` returns how long to wait; it is called at the first event of a batch. */
 	static create(interval: () => number, send: (rows: LoadRow[]) => void): LoadBatch {
 		return new LoadBatch(interval, send);
 	}
--- a/src/gateway/peer-messages.ts
+++ b/src/gateway/peer-messages.ts
@@ -1,14 +1,17 @@
 import {decodeLoad, type LoadEvent, unflattenParts} from '../policy/dispatch/index.js';
 import {type EndpointChange, positionOf} from '../routing/index.js';
 import {type Connection, type GatewayMessage} from '../wire/index.js';
-import {type BeliefChange, type RoutingState} from './routing-state.js';
-import {type KeptParts} from './prompt-cache-reader.js';
+import {type RoutingStateChange, type RoutingState} from './routing-state.js';
+import {type CachedPromptParts} from './prompt-cache-reader.js';
 
-/** What ended within this time is told to whoever has read the endpoints lately: longer ago than any such reading. */
-const recentMilliseconds = 20_000;
+/**
+ * Endpoints that ended within this time are announced even to a peer that has read the endpoints lately; no such read is
+ * longer ago.
+ */
+const recentRemovalMilliseconds = 20_000;
 
-/** What a peer is told of a change of beliefs, if anything. */
-export function messageOf(change: BeliefChange): GatewayMessage | undefined {
+/** Message that announces a change of the routing state to peers, if any. */
+export function messageForChange(change: RoutingStateChange): GatewayMessage | undefined {
 	switch (change.type) {
 		case 'table': {
 			return {type: 'routing-version', version: change.input.version};
@@ -20,20 +23,23 @@
 
 		case 'reborn':
 		case 'era': {
-			// Each instance sees it in the endpoints' records.
+			// Each instance derives it from the endpoints' records.
 			return undefined;
 		}
 	}
 }
 
 /**
- * What a peer is told at first. Failure: all instances start together, and each tells each neighbour every endpoint. Symptom: small instances
- * are busy with lists that say what they have just read themselves, while callers come back. Who has read lately is told what
- * has ended since then. Who is used on trust alone is not passed on: word of it would be trusted anew, from one instance to the next.
+ * Messages for a new peer. A peer that has read the endpoints from the store lately gets only those that have ended since
+ * then: if all instances start together and each sends every endpoint to each neighbour, small instances are busy with lists
+ * that they have just read themselves, while callers reconnect. Unconfirmed endpoints are not announced, because each receiver
+ * would start a new grace period for them.
  */
 export function initialMessages({tableInput, directory}: RoutingState, {knowsEndpoints, now}: {readonly knowsEndpoints: boolean; readonly now: number}): GatewayMessage[] {
-	const told = [...directory.entries.values()].filter(({unconfirmedUntil, endedAt}) => unconfirmedUntil === undefined && (!knowsEndpoints || (endedAt !== undefined && now - endedAt < recentMilliseconds)));
-	const changes = told.map(({record, registrations, endedAt}): EndpointChange => endedAt === undefined || record.isLeaving
+	const listed = [...directory.entries.values()].filter(({unconfirmedUntil, endedAt}) => unconfirmedUntil === undefined && (
+		!knowsEndpoints || (endedAt !== undefined && now - endedAt < recentRemovalMilliseconds)
+	));
+	const changes = listed.map(({record, registrations, endedAt}): EndpointChange => endedAt === undefined || record.isLeaving
 		? {type: 'registered', ...positionOf(registrations), record}
 		: {type: 'removed', ...positionOf(registrations), id: record.id});
 	return [
@@ -42,19 +48,19 @@
 	];
 }
 
-/** Who sent a message, and what it changes here. */
-export type Hearing = {
-	readonly beliefs: RoutingState;
+/** The sender of a message, and what the message changes here. */
+export type MessageContext = {
+	readonly routingState: RoutingState;
 	readonly connection: Connection;
 	readonly instance: string;
 	readonly incarnation: string;
 	readonly onVersion: (version: number) => void;
 	readonly onLoad: (event: LoadEvent) => void;
-	readonly onKept: (kept: KeptParts) => void;
+	readonly onPromptCache: (cached: CachedPromptParts) => void;
 };
 
-/** Takes one message of a peer that has said hello. */
-export function hear(message: Exclude<GatewayMessage, {type: 'gateway-hello'}>, {beliefs, connection, instance, incarnation, onVersion, onLoad, onKept}: Hearing): void {
+/** Handles a message of a peer that has sent its hello. */
+export function handleMessage(message: Exclude<GatewayMessage, {type: 'gateway-hello'}>, {routingState, connection, instance, incarnation, onVersion, onLoad, onPromptCache}: MessageContext): void {
 	switch (message.type) {
 		case 'routing-version': {
 			onVersion(message.version);
@@ -62,32 +68,32 @@
 		}
 
 		case 'routing-wanted': {
-			if (beliefs.tableInput !== undefined) {
-				connection.send({type: 'routing', table: beliefs.tableInput});
+			if (routingState.tableInput !== undefined) {
+				connection.send({type: 'routing', table: routingState.tableInput});
 			}
 
 			return;
 		}
 
 		case 'routing': {
-			beliefs.applyTable(message.table, `instance ${instance}`);
+			routingState.applyTable(message.table, `instance ${instance}`);
 			return;
 		}
 
 		case 'endpoints': {
-			beliefs.applyEndpointChanges(message.changes, `instance ${instance}`, performance.now());
+			routingState.applyEndpointChanges(message.changes, `instance ${instance}`, performance.now());
 			return;
 		}
 
 		case 'kept': {
-			onKept({endpoint: message.endpoint, parts: unflattenParts(message.parts)});
+			onPromptCache({endpoint: message.endpoint, parts: unflattenParts(message.parts)});
 			return;
 		}
 
 		case 'load': {
 			const events = decodeLoad(message.rows, incarnation);
 			if (events === undefined) {
-				connection.close('a peer sent load that can\'t be read');
+				connection.close('the peer sent load that cannot be decoded');
 			}
 
 			for (const event of events ?? []) {
--- a/src/gateway/peer-roster.ts
+++ b/src/gateway/peer-roster.ts
@@ -4,112 +4,116 @@
 /** Another instance, as it announced itself. */
 export type PeerRecord = {readonly instance: string; readonly address: string; readonly zone?: ZoneName | undefined};
 
-/** A peer that does not answer is dialled ever more rarely, between these. */
-const redialMilliseconds = {first: 1000, longest: 30_000};
-/** After so many vain tries in a row it is taken for gone, until one succeeds. */
-const vainTries = 3;
+/** Bounds of the exponential backoff for dialling a peer that does not respond. */
+const redialPauseMilliseconds = {first: 1000, longest: 30_000};
+/** After more consecutive failed dials than this, a peer counts as unreachable until one succeeds. */
+const maxFailedDials = 3;
 
-type Tries = {at: number; pause: number; vain: number};
+type DialState = {at: number; pause: number; failures: number};
 
-/** The instances that announced themselves, and which of them this one is to be linked with. */
+/** The instances that announced themselves, and which of them this one links to. */
 export class PeerRoster {
 	static create(own: Member): PeerRoster {
 		return new PeerRoster(own);
 	}
 
 	readonly #own: Member;
-	readonly #known = new Map<string, PeerRecord>();
+	readonly #peers = new Map<string, PeerRecord>();
 	/**
-	 * Failure: an instance starts again after seconds, and who is to dial it has given up for now. Symptom: it has no peers for as long as it
-	 * was away. It dials those that were there before it by itself.
+	 * Instances that were announced before this one started; this one dials them itself. Otherwise an instance that restarts
+	 * within seconds would have no peers for as long as it was away, because the instances that should dial it have backed
+	 * off.
 	 */
-	readonly #older = new Set<string>();
-	readonly #tries = new Map<string, Tries>();
+	readonly #startedEarlier = new Set<string>();
+	readonly #dials = new Map<string, DialState>();
 	#neighbours: Neighbours | undefined;
 
 	private constructor(own: Member) {
 		this.#own = own;
 	}
 
-	/** The other instances. */
+	/** Names of the other instances. */
 	get instanceNames(): readonly string[] {
-		return [...this.#known.keys()];
+		return [...this.#peers.keys()];
 	}
 
-	/** How many other instances there are, as far as is known. */
+	/** Number of other instances that are known and not unreachable. */
 	get reachableCount(): number {
-		return [...this.#known.values()].filter(({address}) => !this.#isGone(address)).length;
+		return [...this.#peers.values()].filter(({address}) => !this.#isUnreachable(address)).length;
 	}
 
-	/** True where each instance is linked with all others. */
-	get isMesh(): boolean {
+	/** True if each instance is linked with all others. */
+	get isFullMesh(): boolean {
 		return this.neighbours.linked.size === this.reachableCount;
 	}
 
 	get neighbours(): Neighbours {
-		const members = Array.from(this.#known.values(), ({instance, zone}): Member => ({name: instance, zone}));
+		const members = Array.from(this.#peers.values(), ({instance, zone}): Member => ({name: instance, zone}));
 		this.#neighbours ??= neighboursOf(this.#own, members, name => {
-			const record = this.#known.get(name);
-			return record === undefined || !this.#isGone(record.address);
+			const record = this.#peers.get(name);
+			return record === undefined || !this.#isUnreachable(record.address);
 		});
 		return this.#neighbours;
 	}
 
-	/** Takes announcements; the newest of an instance counts. Those in a whole reading stood before this instance read it. */
+	/**
+	 * Adds announced instances; the newest announcement of an instance counts. Those of a snapshot were announced before this
+	 * instance started.
+	 */
 	addPeers(records: readonly PeerRecord[], isWhole: boolean): void {
 		for (const record of records.filter(({instance}) => instance !== this.#own.name)) {
 			if (isWhole) {
-				this.#older.add(record.instance);
+				this.#startedEarlier.add(record.instance);
 			}
 
-			if (this.#known.get(record.instance)?.address !== record.address) {
-				this.#known.set(record.instance, record);
+			if (this.#peers.get(record.instance)?.address !== record.address) {
+				this.#peers.set(record.instance, record);
 				this.#neighbours = undefined;
 			}
 		}
 	}
 
 	removePeer(instance: string): void {
-		this.#known.delete(instance);
+		this.#peers.delete(instance);
 		this.#neighbours = undefined;
 	}
 
-	/** Addresses to dial now: missing neighbours, now and then who seemed gone, and seeds while nobody is linked. */
+	/** Addresses to dial now: missing neighbours, unreachable instances from time to time, and seeds while there is no link. */
 	addressesToDial(linked: ReadonlySet<string>, seeds: readonly string[], now: number): string[] {
 		const {neighbours} = this;
-		const wanted = [...this.#known.values()].filter(({instance, address}) => !linked.has(instance) && (
-			neighbours.dials.includes(instance) || (neighbours.linked.has(instance) && this.#older.has(instance)) || (instance > this.#own.name && this.#isGone(address))
+		const wanted = [...this.#peers.values()].filter(({instance, address}) => !linked.has(instance) && (
+			neighbours.dials.includes(instance) || (neighbours.linked.has(instance) && this.#startedEarlier.has(instance)) || (instance > this.#own.name && this.#isUnreachable(address))
 		));
 		const addresses = new Set([...wanted.map(({address}) => address), ...(linked.size === 0 ? seeds : [])]);
 		return [...addresses].filter(address => {
-			const tried = this.#tries.get(address);
-			return tried === undefined || now - tried.at >= tried.pause;
+			const dialState = this.#dials.get(address);
+			return dialState === undefined || now - dialState.at >= dialState.pause;
 		});
 	}
 
-	/** An address is dialled; returns the pause until it is dialled again, in milliseconds. */
+	/** Records a dial and returns the pause before the next one, in milliseconds. */
 	recordDial(address: string, now: number): number {
-		const before = this.#tries.get(address);
-		const pause = Math.min(redialMilliseconds.longest, before === undefined ? redialMilliseconds.first : before.pause * 2);
-		this.#note(address, {at: now, pause, vain: (before?.vain ?? 0) + 1});
+		const previous = this.#dials.get(address);
+		const pause = Math.min(redialPauseMilliseconds.longest, previous === undefined ? redialPauseMilliseconds.first : previous.pause * 2);
+		this.#setDialState(address, {at: now, pause, failures: (previous?.failures ?? 0) + 1});
 		return pause;
 	}
 
-	/** A connection with an address stood. */
+	/** Resets the backoff of an address that a connection was established with. */
 	recordConnected(address: string): void {
-		if (this.#tries.delete(address)) {
+		if (this.#dials.delete(address)) {
 			this.#neighbours = undefined;
 		}
 	}
 
-	#note(address: string, tries: Tries): void {
-		this.#tries.set(address, tries);
-		if (tries.vain > vainTries) {
+	#setDialState(address: string, dialState: DialState): void {
+		this.#dials.set(address, dialState);
+		if (dialState.failures > maxFailedDials) {
 			this.#neighbours = undefined;
 		}
 	}
 
-	#isGone(address: string): boolean {
-		return (this.#tries.get(address)?.vain ?? 0) > vainTries;
+	#isUnreachable(address: string): boolean {
+		return (this.#dials.get(address)?.failures ?? 0) > maxFailedDials;
 	}
 }
--- a/src/gateway/peers-options.ts
+++ b/src/gateway/peers-options.ts
@@ -4,9 +4,9 @@
 import {type PartLogger} from '../telemetry/index.js';
 import {type Security} from '../wire/index.js';
 import {type RoutingState} from './routing-state.js';
-import {type KeptParts} from './prompt-cache-reader.js';
+import {type CachedPromptParts} from './prompt-cache-reader.js';
 
-/** Who this instance is among the others, and whom it tells what they say. */
+/** Identity of this instance among its peers, and receivers of what the peers send. */
 export type PeersOptions = {
 	readonly instance: string;
 	readonly zone: ZoneName;
@@ -15,17 +15,17 @@
 	readonly host: string;
 	readonly port: number;
 	readonly security: Security;
-	/** Addresses to try before anyone has announced itself; they may be stale. */
+	/** Addresses to dial before any instance is known from the store; they may be outdated. */
 	readonly seeds: readonly string[];
 	readonly routingState: RoutingState;
 	readonly logger: PartLogger;
 	readonly onLoad: (event: LoadEvent) => void;
-	/** A peer read what an endpoint holds of prompts. */
-	readonly onPromptCache: (kept: KeptParts) => void;
+	/** A peer has read which prompt parts an endpoint has cached. */
+	readonly onPromptCache: (cached: CachedPromptParts) => void;
 	/** Whether this instance has read the endpoints from the store lately. */
 	readonly knowsEndpoints: () => boolean;
-	/** A peer has read a newer routing table for long: this instance's own reading may hang. */
+	/** A peer has had a newer routing table for long: this instance's own read may hang. */
 	readonly onStaleTable: () => void;
-	/** How much of the fleet this instance hears of has changed. */
+	/** The share of the fleet that this instance receives load from has changed. */
 	readonly onView: (view: FleetView) => void;
 };
--- a/src/gateway/peers.ts
+++ b/src/gateway/peers.ts
@@ -2,29 +2,29 @@
 import {flattenParts, type LoadEvent, batchIntervalMilliseconds} from '../policy/dispatch/index.js';
 import {type FleetView} from '../policy/sharing/index.js';
 import {type Connection, dial, encodeFrame, type GatewayMessage, isGatewayMessage, Listener, type Message, protocolVersion} from '../wire/index.js';
-import {type KeptParts} from './prompt-cache-reader.js';
+import {type CachedPromptParts} from './prompt-cache-reader.js';
 import {LoadBatch} from './load-batch.js';
-import {initialMessages, hear, messageOf} from './peer-messages.js';
+import {initialMessages, handleMessage, messageForChange} from './peer-messages.js';
 import {type PeerRecord, PeerRoster} from './peer-roster.js';
 import {type PeersOptions} from './peers-options.js';
 import {RoutingTablePuller} from './routing-table-puller.js';
 
-/** How often missing neighbours are dialled, and heartbeats are looked at. */
-const lookMilliseconds = 1000;
+/** Interval between dials of missing neighbours and between heartbeat checks. */
+const maintenanceMilliseconds = 1000;
 /**
- * Failure: an instance loses power, and no packet says so. Symptom: what it had placed counts on, so that
- * endpoints look full. Three heartbeats without a word are a loss; what it placed is then forgotten.
+ * A peer that is silent for three heartbeats counts as lost, and what it had placed is no longer counted. Without this, the
+ * placements of an instance that lost power, which no packet reports, would make endpoints look full.
  */
-const peerTimes = {heartbeatMilliseconds: 900, silenceMilliseconds: 2800};
-/** A link that was made while few names were known is kept for so long, in which the others become known. */
-const leastLinkMilliseconds = 10_000;
+const heartbeatTimes = {heartbeatMilliseconds: 900, silenceMilliseconds: 2800};
+/** A link that was made while few instances were known is kept for this long, until the others are known. */
+const minLinkMilliseconds = 10_000;
 
 type Link = {readonly connection: Connection; readonly instance: string; readonly incarnation: string; readonly isDialled: boolean; readonly since: number; routingVersion: number};
 
 /**
- * The other gateways. Failures: the store refuses this instance or is down while the operator
- * publishes; without peers it would go on with an old routing table, or start with none. And without
- * word of each other's load, a burst through several instances meets on the same idle endpoint.
+ * Links to the other gateways. If the store refuses this instance or is down while the operator publishes, peers provide the
+ * routing table; without them the instance would keep an old one, or start with none. Peers also report their load, without
+ * which a burst through several instances would meet at the same idle endpoint.
  */
 export class Peers implements AsyncDisposable {
 	static async create(options: PeersOptions): Promise<Peers> {
@@ -37,15 +37,15 @@
 				void spawn('peer', () => peers.#serve(connection));
 			},
 		});
-		void spawn('dial peers', () => peers.#keepLinks());
+		void spawn('dial peers', () => peers.#maintainLinks());
 		return peers;
 	}
 
 	readonly #options: PeersOptions;
 	readonly #roster: PeerRoster;
 	readonly #links = new Map<string, Link>();
-	readonly #pull: RoutingTablePuller;
-	readonly #load = LoadBatch.create(() => batchIntervalMilliseconds(this.#links.size), rows => {
+	readonly #tablePuller: RoutingTablePuller;
+	readonly #loadBatch = LoadBatch.create(() => batchIntervalMilliseconds(this.#links.size), rows => {
 		this.#broadcast({type: 'load', rows});
 	});
 
@@ -57,7 +57,7 @@
 		this.#options = options;
 		this.#roster = PeerRoster.create({name: options.instance, zone: options.zone});
 		this.#seeds = options.seeds.filter(seed => seed !== `${options.host}:${options.port}`);
-		this.#pull = RoutingTablePuller.create({
+		this.#tablePuller = RoutingTablePuller.create({
 			ownVersion: () => options.routingState.table?.version,
 			holders: () => [...this.#links.values()].map(({instance, routingVersion, connection}) => ({
 				instance,
@@ -70,7 +70,7 @@
 			onStaleTable: options.onStaleTable,
 		});
 		options.routingState.onChange(change => {
-			const message = messageOf(change);
+			const message = messageForChange(change);
 			if (message !== undefined) {
 				this.#broadcast(message);
 			}
@@ -81,23 +81,29 @@
 		return this.#links.size;
 	}
 
-	/** The other instances that announced themselves. */
+	/** Names of the other instances that announced themselves. */
 	get instanceNames(): readonly string[] {
 		return this.#roster.instanceNames;
 	}
 
-	/** In a mesh the links tell how many are live; an instance without links knows of nobody who would tell it anything. */
+	/**
+	 * In a full mesh the number of links is the number of live instances; an instance without links receives reports from no
+	 * other one.
+	 */
 	get view(): FleetView {
 		const links = this.#links.size;
-		return {links, instances: (links === 0 || this.#roster.isMesh ? links : Math.max(links, this.#roster.reachableCount)) + 1};
+		return {links, instances: (links === 0 || this.#roster.isFullMesh ? links : Math.max(links, this.#roster.reachableCount)) + 1};
 	}
 
-	/** Tells all neighbours what an endpoint holds of prompts. */
-	broadcastPromptCache({endpoint, parts}: KeptParts): void {
+	/** Reports to all neighbours which prompt parts an endpoint has cached. */
+	broadcastPromptCache({endpoint, parts}: CachedPromptParts): void {
 		this.#broadcast({type: 'kept', endpoint, parts: flattenParts(parts)});
 	}
 
-	/** Takes announcements; the newest of an instance counts. A whole reading names those that stood before it. */
+	/**
+	 * Adds announced instances; the newest announcement of an instance counts. A snapshot names those that were announced
+	 * before this one started.
+	 */
 	addPeers(records: readonly PeerRecord[], isWhole: boolean): void {
 		this.#roster.addPeers(records, isWhole);
 		this.#options.onView(this.view);
@@ -108,18 +114,18 @@
 		this.#options.onView(this.view);
 	}
 
-	/** Tells the neighbours, together with what else happens within a few milliseconds. */
+	/** Reports load to the neighbours, batched with other events of a few milliseconds. */
 	broadcastLoad(event: LoadEvent): void {
 		if (this.#links.size === 0) {
 			return;
 		}
 
-		this.#load.add(event);
+		this.#loadBatch.add(event);
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
 		this.#isClosed = true;
-		this.#pull[Symbol.dispose]();
+		this.#tablePuller[Symbol.dispose]();
 		await this.#listener?.[Symbol.asyncDispose]();
 		await Promise.all([...this.#links.values()].map(async ({connection}) => connection[Symbol.asyncDispose]()));
 	}
@@ -135,24 +141,27 @@
 		}
 	}
 
-	* #keepLinks(): Body<void> {
+	* #maintainLinks(): Body<void> {
 		while (!this.#isClosed) {
 			for (const address of this.#roster.addressesToDial(new Set(this.#links.keys()), this.#seeds, performance.now())) {
 				void spawn('dial peer', () => this.#dial(address));
 			}
 
 			for (const link of this.#links.values()) {
-				this.#keepLink(link);
+				this.#maintainLink(link);
 			}
 
-			yield * sleep(lookMilliseconds);
+			yield * sleep(maintenanceMilliseconds);
 		}
 	}
 
-	/** Whoever dialled a link that is no neighbour's any more ends it; else it says that it is there. */
-	#keepLink({connection, instance, isDialled, since}: Link): void {
-		if (isDialled && performance.now() - since > leastLinkMilliseconds && !this.#roster.neighbours.linked.has(instance)) {
-			connection.close('no neighbour any more');
+	/**
+	 * Closes a link to an instance that is no longer a neighbour if this instance dialled it; otherwise sends a heartbeat when
+	 * one is due.
+	 */
+	#maintainLink({connection, instance, isDialled, since}: Link): void {
+		if (isDialled && performance.now() - since > minLinkMilliseconds && !this.#roster.neighbours.linked.has(instance)) {
+			connection.close('no longer a neighbour');
 		} else if (connection.takeHeartbeat(this.#links.size)) {
 			connection.send({type: 'heartbeat', catalogueOffset: 0});
 		}
@@ -164,57 +173,57 @@
 			const connection = yield * wait(dial(address, this.#options.security));
 			yield * this.#serve(connection, address);
 		} catch (error) {
-			this.#options.logger.debug('No connection to a peer.', {address, reason: String(error), pause});
+			this.#options.logger.debug('Could not connect to a peer.', {address, reason: String(error), pause});
 		}
 	}
 
 	* #serve(connection: Connection, address?: string): Body<void> {
 		const {instance, incarnation, knowsEndpoints} = this.#options;
-		connection.setBusy(true, peerTimes);
+		connection.setBusy(true, heartbeatTimes);
 		connection.send({type: 'gateway-hello', protocol: protocolVersion, instance, incarnation, knowsEndpoints: knowsEndpoints()});
 		let link: Link | undefined;
 		for (let turn = yield * receive(connection.incoming); turn !== undefined; turn = yield * receive(connection.incoming)) {
 			for (const message of turn) {
-				link = this.#take(message, {connection, link, address});
+				link = this.#handleMessage(message, {connection, link, address});
 			}
 		}
 
-		this.#drop(link);
+		this.#removeLink(link);
 	}
 
-	#take(message: Message, {connection, link, address}: {connection: Connection; link: Link | undefined; address: string | undefined}): Link | undefined {
+	#handleMessage(message: Message, {connection, link, address}: {connection: Connection; link: Link | undefined; address: string | undefined}): Link | undefined {
 		if (message.type === 'heartbeat') {
 			return link;
 		}
 
 		if (!isGatewayMessage(message)) {
-			connection.close(`a peer sent ${message.type}`);
+			connection.close(`the peer sent ${message.type}`);
 			return link;
 		}
 
 		if (message.type === 'gateway-hello') {
-			return this.#greet(message, connection, address);
+			return this.#handleHello(message, connection, address);
 		}
 
 		if (link === undefined) {
-			connection.close('a peer sent no hello');
+			connection.close('the peer sent no hello');
 			return undefined;
 		}
 
-		const {routingState: beliefs, onLoad, onPromptCache: onKept} = this.#options;
+		const {routingState, onLoad, onPromptCache} = this.#options;
 		const {instance, incarnation} = link;
-		hear(message, {
-			beliefs, connection, instance, incarnation, onLoad, onKept,
+		handleMessage(message, {
+			routingState, connection, instance, incarnation, onLoad, onPromptCache,
 			onVersion: version => {
 				link.routingVersion = version;
-				this.#pull.handlePeerVersion();
+				this.#tablePuller.handlePeerVersion();
 			},
 		});
 		return link;
 	}
 
-	#greet(hello: Extract<GatewayMessage, {type: 'gateway-hello'}>, connection: Connection, address: string | undefined): Link | undefined {
-		const held = this.#links.get(hello.instance);
+	#handleHello(hello: Extract<GatewayMessage, {type: 'gateway-hello'}>, connection: Connection, address: string | undefined): Link | undefined {
+		const existing = this.#links.get(hello.instance);
 		const isDialled = address !== undefined;
 		if (isDialled) {
 			this.#roster.recordConnected(address);
@@ -225,16 +234,19 @@
 			return undefined;
 		}
 
-		if (held?.incarnation === hello.incarnation && !this.#isBetter(held, isDialled)) {
-			connection.close('connected already');
+		if (existing?.incarnation === hello.incarnation && !this.#isPreferred(existing, isDialled)) {
+			connection.close('already connected');
 			return undefined;
 		}
 
-		if (held !== undefined) {
-			this.#replace(held, hello.incarnation);
+		if (existing !== undefined) {
+			this.#replace(existing, hello.incarnation);
 		}
 
-		const link = {connection, instance: hello.instance, incarnation: hello.incarnation, isDialled, since: performance.now(), routingVersion: held?.incarnation === hello.incarnation ? held.routingVersion : -Infinity};
+		const link = {
+			connection, instance: hello.instance, incarnation: hello.incarnation, isDialled, since: performance.now(),
+			routingVersion: existing?.incarnation === hello.incarnation ? existing.routingVersion : -Infinity,
+		};
 		this.#links.set(hello.instance, link);
 		this.#options.onView(this.view);
 		this.#options.logger.info('Peer connected.', {peer: hello.instance, incarnation: hello.incarnation, peers: this.#links.size});
@@ -246,28 +258,30 @@
 	}
 
 	/**
-	 * Failure: a peer is killed and back before its silence shows. Symptom: what its earlier incarnation had placed counts on, and endpoints
-	 * look full.
+	 * Replaces the link of a peer. If the peer restarted before its silence was noticed, the placements of its previous
+	 * incarnation are dropped; they would make endpoints look full.
 	 */
-	#replace(held: Link, incarnation: string): void {
-		if (held.incarnation === incarnation) {
-			held.connection.close('another connection took its place');
+	#replace(existing: Link, incarnation: string): void {
+		if (existing.incarnation === incarnation) {
+			existing.connection.close('replaced by another connection');
 			return;
 		}
 
-		held.connection.close('the peer has started anew');
-		this.#options.onLoad({type: 'owner-lost', owner: held.incarnation});
+		existing.connection.close('the peer has restarted');
+		this.#options.onLoad({type: 'owner-lost', owner: existing.incarnation});
 	}
 
 	/**
-	 * Failure: two instances dial each other at one moment, and each ends the other's connection. Symptom: they stay unlinked. Both keep the
-	 * one that the smaller name dialled; of two by the same the newer one, since nobody dials who has a link.
+	 * Which of two connections to a peer is kept, if both instances dial each other at the same time: the one that the
+	 * instance with the smaller name dialled, and of two that the same instance dialled the newer one, since an instance with
+	 * a link does not dial. Without a common rule each instance could close the other's connection, and they would stay
+	 * unlinked.
 	 */
-	#isBetter(held: Link, isDialled: boolean): boolean {
-		return held.isDialled === isDialled || isDialled === (this.#options.instance < held.instance);
+	#isPreferred(existing: Link, isDialled: boolean): boolean {
+		return existing.isDialled === isDialled || isDialled === (this.#options.instance < existing.instance);
 	}
 
-	#drop(link: Link | undefined): void {
+	#removeLink(link: Link | undefined): void {
 		if (link === undefined || this.#links.get(link.instance) !== link) {
 			return;
 		}
--- a/src/gateway/placement-queue.ts
+++ b/src/gateway/placement-queue.ts
@@ -1,154 +1,160 @@
 import {type Candidate, expectedQueueMilliseconds, type LoadTracker, retryAfter, PrefillShares, type Wait, WaitingQueue} from '../policy/dispatch/index.js';
 import {type FleetView} from '../policy/sharing/index.js';
 import {compareUrgency} from '../routing/index.js';
-import {type Foreseen, RefusalReason, type PlacementRequest} from './decision.js';
-import {type EndpointBook} from './endpoint-pool.js';
+import {type WaitEstimate, RefusalReason, type PlacementRequest} from './decision.js';
+import {type EndpointPool} from './endpoint-pool.js';
 
-export type WaitingRoomOptions = {
-	readonly book: LoadTracker;
-	readonly endpoints: EndpointBook;
+export type PlacementQueueOptions = {
+	readonly loadTracker: LoadTracker;
+	readonly endpoints: EndpointPool;
 	readonly random: () => number;
 	readonly view: () => FleetView;
-	/** Something waits that did not before. */
+	/** Called when a request is added to the queue. */
 	readonly onWaiting: () => void;
 };
 
-/** A waiting request is looked at again after this part of the wait that was foreseen, within these bounds. */
-const lookAgain = {share: 0.5, leastMilliseconds: 8, mostMilliseconds: 60};
-/** Requests that may wait here: at the largest body of usual prompts this is a tenth of a small instance's memory. */
-const largestLine = 1500;
-/** Where nothing tells when a place comes: the time in which a registration spreads. */
+/** The next search for a queued request comes after this share of its estimated wait, within these bounds. */
+const searchAgain = {share: 0.5, leastMilliseconds: 8, mostMilliseconds: 60};
+/** Limit of the queue: with the largest usual prompts as bodies it takes a tenth of a small instance's memory. */
+const maxQueuedRequests = 1500;
+/** Retry delay where nothing predicts when a slot becomes free: the time in which a registration reaches all instances. */
 export const unknownRetryMilliseconds = 700;
 
-type Refusal = {readonly milliseconds: number; readonly candidates: number; readonly foreseen?: Foreseen};
+type RefusalDetails = {readonly milliseconds: number; readonly candidates: number; readonly foreseen?: WaitEstimate};
 
-/** Who waits for a place, and who is told at once that it can't have one in time. */
-export class WaitingRoom {
-	static create(options: WaitingRoomOptions): WaitingRoom {
-		return new WaitingRoom(options);
+/** Queue of requests that wait for placement. A request that can't be started in time is refused at once. */
+export class PlacementQueue {
+	static create(options: PlacementQueueOptions): PlacementQueue {
+		return new PlacementQueue(options);
 	}
 
-	readonly #options: WaitingRoomOptions;
-	readonly #line = WaitingQueue.create();
-	readonly #tickets = new Map<string, PlacementRequest>();
-	readonly #unreadShares = PrefillShares.create();
+	readonly #options: PlacementQueueOptions;
+	readonly #queue = WaitingQueue.create();
+	readonly #requests = new Map<string, PlacementRequest>();
+	readonly #prefillShares = PrefillShares.create();
 
-	private constructor(options: WaitingRoomOptions) {
+	private constructor(options: PlacementQueueOptions) {
 		this.#options = options;
 	}
 
 	get size(): number {
-		return this.#line.size;
+		return this.#queue.size;
 	}
 
-	get tickets(): Iterable<PlacementRequest> {
-		return this.#tickets.values();
+	get requests(): Iterable<PlacementRequest> {
+		return this.#requests.values();
 	}
 
 	has(id: string): boolean {
-		return this.#tickets.has(id);
+		return this.#requests.has(id);
 	}
 
-	/** Those that wait, in the order in which they are tried. */
+	/** Queued requests in the order in which they are searched for. */
 	ordered(now: number): PlacementRequest[] {
-		return this.#line.ordered(now).flatMap(({id}) => this.#tickets.get(id) ?? []);
+		return this.#queue.ordered(now).flatMap(({id}) => this.#requests.get(id) ?? []);
 	}
 
-	/** The caller left, or the time is over. */
-	withdraw(id: string): void {
-		this.#line.remove(id);
-		this.#tickets.delete(id);
+	/** Removes a request, for example because its caller disconnected or its deadline passed. */
+	remove(id: string): void {
+		this.#queue.remove(id);
+		this.#requests.delete(id);
 	}
 
-	/** A request got a place, where so much of its prompt has to be read. */
-	placed(ticket: PlacementRequest, prefillTokens: number, now: number): void {
-		this.withdraw(ticket.id);
-		this.#line.charge(ticket, now);
-		this.#unreadShares.record(ticket.demand.service, prefillTokens / ticket.work);
+	/** Records the placement of a request and the prefill that it needs. */
+	recordPlacement(request: PlacementRequest, prefillTokens: number, now: number): void {
+		this.remove(request.id);
+		this.#queue.charge(request, now);
+		this.#prefillShares.record(request.demand.service, prefillTokens / request.work);
 	}
 
-	/** Refuses those that can't be started in time any more. */
+	/** Refuses requests that can no longer be started in time. */
 	expire(now: number): void {
-		for (const {id} of this.#line.expired(now)) {
-			this.refuse(this.#tickets.get(id)!, RefusalReason.tooLate, {milliseconds: unknownRetryMilliseconds, candidates: 0});
+		for (const {id} of this.#queue.expired(now)) {
+			this.refuse(this.#requests.get(id)!, RefusalReason.tooLate, {milliseconds: unknownRetryMilliseconds, candidates: 0});
 		}
 	}
 
-	/** True if it left the line; a ticket that can't be started in time is refused at once. */
-	enqueue(ticket: PlacementRequest, {endpoint, milliseconds}: Wait, candidates: readonly Candidate[]): boolean {
+	/**
+	 * Queues a request after a search; returns true if it was refused instead, because it can't be started in time or the
+	 * queue is full.
+	 */
+	enqueue(request: PlacementRequest, {endpoint, milliseconds}: Wait, candidates: readonly Candidate[]): boolean {
 		const now = performance.now();
-		const hasLeft = this.#join(ticket, {now, candidates, foreseen: this.#foresee(ticket, {endpointMilliseconds: milliseconds, candidates, now})});
-		if (!hasLeft) {
-			ticket.waitsFor = {endpoint, until: now + Math.min(lookAgain.mostMilliseconds, Math.max(lookAgain.leastMilliseconds, milliseconds * lookAgain.share))};
+		const isRefused = this.#admit(request, {now, candidates, foreseen: this.#estimateWait(request, {endpointMilliseconds: milliseconds, candidates, now})});
+		if (!isRefused) {
+			request.waitsFor = {endpoint, until: now + Math.min(searchAgain.mostMilliseconds, Math.max(searchAgain.leastMilliseconds, milliseconds * searchAgain.share))};
 		}
 
-		return hasLeft;
+		return isRefused;
 	}
 
-	/** What another of its group has found is enough to tell whether it can still be started in time; true if it can't, and is refused. */
-	joinBehind(ticket: PlacementRequest, endpointMilliseconds: number, now: number): boolean {
-		const candidates = this.#options.endpoints.candidatesOf(ticket.service);
-		return this.#join(ticket, {now, candidates, foreseen: this.#foresee(ticket, {endpointMilliseconds, candidates, now})});
+	/**
+	 * Queues a request without a search of its own, by the wait that another request of its group has found. Returns true if
+	 * it was refused because it can't be started in time.
+	 */
+	enqueueWithGroup(request: PlacementRequest, endpointMilliseconds: number, now: number): boolean {
+		const candidates = this.#options.endpoints.candidatesOf(request.service);
+		return this.#admit(request, {now, candidates, foreseen: this.#estimateWait(request, {endpointMilliseconds, candidates, now})});
 	}
 
-	refuse(ticket: PlacementRequest, reason: RefusalReason, {milliseconds, candidates, foreseen}: Refusal): void {
-		this.withdraw(ticket.id);
+	refuse(request: PlacementRequest, reason: RefusalReason, {milliseconds, candidates, foreseen}: RefusalDetails): void {
+		this.remove(request.id);
 		const retryAfterMilliseconds = retryAfter(milliseconds, this.#options.random());
-		ticket.onDecision({type: 'refused', reason, retryAfterMilliseconds, candidates, ahead: this.#line.ahead(ticket.service, ticket.urgency).count, waiting: this.#line.size, foreseen});
+		request.onDecision({type: 'refused', reason, retryAfterMilliseconds, candidates, ahead: this.#queue.ahead(request.service, request.urgency).count, waiting: this.#queue.size, foreseen});
 	}
 
-	/** Lets it wait, unless it can't be started in time or the line is full; true if it is refused. */
-	#join(ticket: PlacementRequest, {now, candidates, foreseen}: {now: number; candidates: readonly Candidate[]; foreseen: Foreseen}): boolean {
+	/** Queues the request unless it can't be started in time or the queue is full; returns true if it was refused. */
+	#admit(request: PlacementRequest, {now, candidates, foreseen}: {now: number; candidates: readonly Candidate[]; foreseen: WaitEstimate}): boolean {
 		const expected = foreseen.endpoint + foreseen.line;
 		if (expected > foreseen.left) {
-			this.refuse(ticket, RefusalReason.tooLate, {milliseconds: expected, candidates: candidates.length, foreseen});
+			this.refuse(request, RefusalReason.tooLate, {milliseconds: expected, candidates: candidates.length, foreseen});
 			return true;
 		}
 
-		if (this.#tickets.has(ticket.id)) {
+		if (this.#requests.has(request.id)) {
 			return false;
 		}
 
-		if (this.#line.size >= largestLine && !this.#makeRoom(ticket, now)) {
-			this.refuse(ticket, RefusalReason.lineFull, {milliseconds: expected, candidates: candidates.length, foreseen});
+		if (this.#queue.size >= maxQueuedRequests && !this.#evictLessUrgent(request, now)) {
+			this.refuse(request, RefusalReason.lineFull, {milliseconds: expected, candidates: candidates.length, foreseen});
 			return true;
 		}
 
-		this.#tickets.set(ticket.id, ticket);
-		this.#line.add(ticket);
+		this.#requests.set(request.id, request);
+		this.#queue.add(request);
 		this.#options.onWaiting();
 		return false;
 	}
 
 	/**
-	 * Failure: a line full of drafts turns away whoever comes. Symptom: a confirmation that would be next is refused. Of the
-	 * least urgent the last to come leaves for it; among equals those who came first stay.
+	 * Refuses the last queued one of the least urgent requests to make room for a more urgent request, which a queue full of
+	 * less urgent ones would otherwise refuse although it would be next. Among equally urgent requests the earlier ones stay.
 	 */
-	#makeRoom({urgency}: PlacementRequest, now: number): boolean {
-		const last = this.#line.last();
-		const leaving = last === undefined || compareUrgency(last.urgency, urgency) <= 0 ? undefined : this.#tickets.get(last.id);
-		if (leaving === undefined) {
+	#evictLessUrgent({urgency}: PlacementRequest, now: number): boolean {
+		const last = this.#queue.last();
+		const evicted = last === undefined || compareUrgency(last.urgency, urgency) <= 0 ? undefined : this.#requests.get(last.id);
+		if (evicted === undefined) {
 			return false;
 		}
 
-		const candidates = this.#options.endpoints.candidatesOf(leaving.service);
-		this.refuse(leaving, RefusalReason.lineFull, {milliseconds: this.#lineMilliseconds(leaving, candidates, now), candidates: candidates.length});
+		const candidates = this.#options.endpoints.candidatesOf(evicted.service);
+		this.refuse(evicted, RefusalReason.lineFull, {milliseconds: this.#queueMilliseconds(evicted, candidates, now), candidates: candidates.length});
 		return true;
 	}
 
-	#foresee(ticket: PlacementRequest, {endpointMilliseconds, candidates, now}: {endpointMilliseconds: number; candidates: readonly Candidate[]; now: number}): Foreseen {
-		return {endpoint: endpointMilliseconds, line: this.#lineMilliseconds(ticket, candidates, now), left: ticket.lastStartAt - now};
+	#estimateWait(request: PlacementRequest, {endpointMilliseconds, candidates, now}: {endpointMilliseconds: number; candidates: readonly Candidate[]; now: number}): WaitEstimate {
+		return {endpoint: endpointMilliseconds, line: this.#queueMilliseconds(request, candidates, now), left: request.lastStartAt - now};
 	}
 
-	#lineMilliseconds({service, urgency}: PlacementRequest, candidates: readonly Candidate[], now: number): number {
-		const {book, view} = this.#options;
-		return expectedQueueMilliseconds(this.#line.ahead(service, urgency), {
+	#queueMilliseconds({service, urgency}: PlacementRequest, candidates: readonly Candidate[], now: number): number {
+		const {loadTracker, view} = this.#options;
+		return expectedQueueMilliseconds(this.#queue.ahead(service, urgency), {
 			candidates,
 			instances: view().instances,
-			tokensPerMillisecond: book.speed(service).tokensPerMillisecond,
-			prefillShare: this.#unreadShares.of(service),
-			startedWorkRate: this.#line.startedWorkRate(service, now),
-			serviceTimeMilliseconds: book.serviceTimeMilliseconds(service),
+			tokensPerMillisecond: loadTracker.speed(service).tokensPerMillisecond,
+			prefillShare: this.#prefillShares.of(service),
+			startedWorkRate: this.#queue.startedWorkRate(service, now),
+			serviceTimeMilliseconds: loadTracker.serviceTimeMilliseconds(service),
 		});
 	}
 }
--- a/src/gateway/placement-request.ts
+++ b/src/gateway/placement-request.ts
@@ -3,27 +3,27 @@
 import {type PlacementRequest} from './decision.js';
 import {type RequestMetadata} from './types.js';
 
-/** What decides a request's place among others. */
-export type Asked = {
+/** What determines the priority of a request. */
+export type RequestContext = {
 	readonly facts: RequestMetadata;
 	readonly table: RoutingTable;
 	readonly route: Route;
 	readonly service: string;
 	readonly workspace: Workspace | undefined;
-	/** When its first byte was here, on the monotonic clock. */
+	/** Arrival of its first byte, on the monotonic clock. */
 	readonly arrivedAt: number;
 };
 
-/** A start after this part of the target is late: the rest goes to the endpoint's own work. */
+/** A request that starts after this share of its target is late: the rest is needed for the endpoint's own work. */
 const startShare = 0.75;
 /**
- * A stream with tight pauses has a short prompt: it goes before others in the line whatever its rank,
- * since reading it holds them up for a few milliseconds. At the endpoint its route's urgency counts.
+ * A latency-critical stream has a short prompt. It goes before all others in the queue regardless of its rank, since its
+ * prefill delays them by only a few milliseconds. At the endpoint the urgency of its route applies.
  */
-const tightUrgency: UrgencyPair = {route: -Infinity, workspace: undefined};
+const latencyCriticalUrgency: UrgencyPair = {route: -Infinity, workspace: undefined};
 
-/** What a request wants of an endpoint. */
-export function demandOf({facts, table, route, service, workspace}: Asked): Demand {
+/** Requirements of a request on an endpoint. */
+export function demandOf({facts, table, route, service, workspace}: RequestContext): Demand {
 	return {
 		service,
 		urgency: table.rank(route, service, workspace),
@@ -39,12 +39,15 @@
 	};
 }
 
-/** Its place in the line, the same for each of its sendings. */
-export function placementRequestOf({facts, route, workspace, arrivedAt}: Asked, demand: Demand): Pick<PlacementRequest, 'workspace' | 'service' | 'urgency' | 'work' | 'arrivedAt' | 'inTimeUntil' | 'demand'> {
+/** Queue order of a request; the same for each of its attempts. */
+export function placementRequestOf(
+	{facts, route, workspace, arrivedAt}: RequestContext,
+	demand: Demand,
+): Pick<PlacementRequest, 'workspace' | 'service' | 'urgency' | 'work' | 'arrivedAt' | 'inTimeUntil' | 'demand'> {
 	return {
 		workspace: workspace?.name ?? '',
 		service: demand.service,
-		urgency: demand.isLatencyCritical ? tightUrgency : {route: route.urgency, workspace: workspace?.urgency},
+		urgency: demand.isLatencyCritical ? latencyCriticalUrgency : {route: route.urgency, workspace: workspace?.urgency},
 		work: facts.outputTokens + tokensOf(facts.parts) + 1,
 		arrivedAt,
 		inTimeUntil: arrivedAt + (route.targetMilliseconds * startShare),
--- a/src/gateway/prompt-cache-reader.ts
+++ b/src/gateway/prompt-cache-reader.ts
@@ -3,48 +3,55 @@
 import {type PartLogger} from '../telemetry/index.js';
 import {type RoutingState} from './routing-state.js';
 
-/** What an endpoint holds of prompts, as it says itself. */
-export type KeptParts = {readonly endpoint: string; readonly parts: readonly PromptPart[]};
+/** The prompt parts that an endpoint reports as cached. */
+export type CachedPromptParts = {readonly endpoint: string; readonly parts: readonly PromptPart[]};
 
-export type KeptReaderOptions = {
+export type PromptCacheReaderOptions = {
 	readonly instance: string;
 	readonly routingState: RoutingState;
-	/** The instances that are known, this one included or not. */
+	/** Names of the known instances, with or without this one. */
 	readonly instances: () => readonly string[];
 	readonly read: (address: string) => Promise<readonly PromptPart[]>;
-	/** A list that this instance read itself. */
-	readonly onRead: (kept: KeptParts) => void;
+	/** Called with a list that this instance has read itself. */
+	readonly onRead: (cached: CachedPromptParts) => void;
 	readonly logger: PartLogger;
 };
 
-/** Endpoints that this process hears of later than this after its start began after it, and hold nothing. */
-const startMilliseconds = 4000;
-/** Those that start together have announced themselves within a reading of the store. */
+/** An endpoint that becomes known later than this after the start of the process started after it, and has nothing cached. */
+const startupMilliseconds = 4000;
+/**
+ * Delay before the turns are determined: by then, instances that started together have announced themselves, which takes one
+ * read of the store.
+ */
 const firstDelayMilliseconds = 40;
-/** Whoever is next reads if it was not told by then: a reading and a message between zones take a third of that. */
+/**
+ * Time after which the next instance reads the list if it has not been notified; one read and one message between availability
+ * zones take a third of it.
+ */
 const turnMilliseconds = 150;
-/** So many instances are given a turn: where all of them fail, the engine answers nobody. */
-const mostTurns = 3;
+/** Number of instances that get a turn. If all of them fail, the engine responds to none. */
+const maxTurns = 3;
 
 /**
- * Failure: all instances lose power, or one starts anew, and nobody there knows what engines keep. Symptom:
- * beginnings are sent where they have to be read again, just when callers come back. Each engine is
- * asked once by one of the instances, which tells the others; the next one asks where that fails.
+ * Reads from each engine which prompt parts it has cached, after this process started. If all instances lose power or one
+ * restarts, this knowledge is lost, and prompts are sent to engines that have to prefill them again, just when callers
+ * reconnect. Each engine is asked once by one of the instances, which notifies the others; the next instance asks if that
+ * fails.
  */
 export class PromptCacheReader implements Disposable {
-	static create(options: KeptReaderOptions): PromptCacheReader {
+	static create(options: PromptCacheReaderOptions): PromptCacheReader {
 		return new PromptCacheReader(options);
 	}
 
-	readonly #options: KeptReaderOptions;
+	readonly #options: PromptCacheReaderOptions;
 	readonly #startedAt = performance.now();
 	readonly #timers = new Map<string, NodeJS.Timeout>();
-	readonly #known = new Set<string>();
+	readonly #alreadyRead = new Set<string>();
 
-	private constructor(options: KeptReaderOptions) {
+	private constructor(options: PromptCacheReaderOptions) {
 		this.#options = options;
 		options.routingState.onChange(() => {
-			this.#look();
+			this.#scheduleReads();
 		});
 	}
 
@@ -54,31 +61,31 @@
 		}
 	}
 
-	/** Another instance read this endpoint's list. */
+	/** Records that another instance has read this endpoint's list. */
 	markRead(endpoint: string): void {
-		this.#known.add(endpoint);
+		this.#alreadyRead.add(endpoint);
 	}
 
-	#look(): void {
-		if (performance.now() - this.#startedAt > startMilliseconds) {
+	#scheduleReads(): void {
+		if (performance.now() - this.#startedAt > startupMilliseconds) {
 			return;
 		}
 
 		const {table, directory} = this.#options.routingState;
 		for (const {record, endedAt} of directory.entries.values()) {
-			const isListing = table?.service(record.service)?.engine?.listsKept === true;
-			if (isListing && endedAt === undefined && !this.#timers.has(record.id)) {
+			const listsCache = table?.service(record.service)?.engine?.listsKept === true;
+			if (listsCache && endedAt === undefined && !this.#timers.has(record.id)) {
 				this.#timers.set(record.id, setTimeout(() => {
-					this.#takeTurn(record.id, record.address);
+					this.#scheduleTurn(record.id, record.address);
 				}, firstDelayMilliseconds));
 			}
 		}
 	}
 
-	#takeTurn(endpoint: string, address: string): void {
+	#scheduleTurn(endpoint: string, address: string): void {
 		const {instance, instances} = this.#options;
 		const turn = rankByRendezvous(endpoint, new Set([instance, ...instances()])).indexOf(instance);
-		if (turn >= mostTurns) {
+		if (turn >= maxTurns) {
 			return;
 		}
 
@@ -89,16 +96,16 @@
 
 	async #read(endpoint: string, address: string): Promise<void> {
 		const {read, onRead, logger} = this.#options;
-		if (this.#known.has(endpoint)) {
+		if (this.#alreadyRead.has(endpoint)) {
 			return;
 		}
 
-		const askedAt = performance.now();
+		const requestedAt = performance.now();
 		try {
 			const parts = await read(address);
-			this.#known.add(endpoint);
+			this.#alreadyRead.add(endpoint);
 			logger.info('Kept prompts read.', {
-				endpoint, parts: parts.length, tokens: tokensOf(parts), milliseconds: Math.round(performance.now() - askedAt),
+				endpoint, parts: parts.length, tokens: tokensOf(parts), milliseconds: Math.round(performance.now() - requestedAt),
 			});
 			onRead({endpoint, parts});
 		} catch (error) {
--- a/src/gateway/queue-meter.ts
+++ b/src/gateway/queue-meter.ts
@@ -1,51 +1,51 @@
-/** What an instance did for its line in a time. */
-export type LineActivity = {
-	/** Requests that wait now. */
+/** Queue statistics of an instance over an interval. */
+export type QueueActivity = {
+	/** Requests queued now. */
 	readonly waiting: number;
-	/** Tries of the whole line, and the milliseconds that they took together. */
+	/** Scans of the queue and their total duration in milliseconds. */
 	readonly tries: number;
 	readonly triesMilliseconds: number;
-	/** The longest time from one try to the next, in milliseconds. */
+	/** The longest time between two scans, in milliseconds. */
 	readonly longestRest: number;
-	/** Looks at endpoints for one request each. */
+	/** Searches for an endpoint for one request each. */
 	readonly looks: number;
-	/** Requests that got a place out of the line, and as they came. */
+	/** Requests placed out of the queue, and on arrival. */
 	readonly placed: number;
 	readonly placedAtOnce: number;
 };
 
-const nothing = {tries: 0, triesMilliseconds: 0, longestRest: 0, looks: 0, placed: 0, placedAtOnce: 0};
+const zeroCounts = {tries: 0, triesMilliseconds: 0, longestRest: 0, looks: 0, placed: 0, placedAtOnce: 0};
 
-/** Counts what is done for the line, so that a line which is tried too rarely shows in the logs. */
-export class LineMeter {
-	static create(): LineMeter {
-		return new LineMeter();
+/** Counts the work on the queue, so that the logs show a queue that is scanned too rarely. */
+export class QueueMeter {
+	static create(): QueueMeter {
+		return new QueueMeter();
 	}
 
-	#counts = {...nothing};
+	#counts = {...zeroCounts};
 	#lastTryAt: number | undefined;
 
-	/** The line was tried, from one moment to another. */
-	tried(from: number, to: number): void {
+	/** Records a scan of the queue by its start and end. */
+	recordScan(from: number, to: number): void {
 		this.#counts.tries += 1;
 		this.#counts.triesMilliseconds += to - from;
 		this.#counts.longestRest = Math.max(this.#counts.longestRest, from - (this.#lastTryAt ?? from));
 		this.#lastTryAt = to;
 	}
 
-	looked(): void {
+	recordSearch(): void {
 		this.#counts.looks += 1;
 	}
 
-	placed(hasWaited: boolean): void {
+	recordPlacement(hasWaited: boolean): void {
 		this.#counts.placed += hasWaited ? 1 : 0;
 		this.#counts.placedAtOnce += hasWaited ? 0 : 1;
 	}
 
-	/** What was counted since it was asked last. */
-	take(waiting: number): LineActivity {
+	/** Statistics since the previous call. */
+	take(waiting: number): QueueActivity {
 		const activity = {waiting, ...this.#counts, triesMilliseconds: Math.round(this.#counts.triesMilliseconds), longestRest: Math.round(this.#counts.longestRest)};
-		this.#counts = {...nothing};
+		this.#counts = {...zeroCounts};
 		this.#lastTryAt = waiting === 0 ? undefined : this.#lastTryAt;
 		return activity;
 	}
--- a/src/gateway/response-forwarder.ts
+++ b/src/gateway/response-forwarder.ts
@@ -1,55 +1,55 @@
 import {Verdict} from '../model/index.js';
 import {type AttemptEvent} from './attempt.js';
-import {type AttemptFollower, type Outcome} from './attempt-state.js';
+import {type AttemptState, type Outcome} from './attempt-state.js';
 import {type Caller} from './caller.js';
 import {type RequestCodec} from './types.js';
 
-export type AnswerPasserOptions = {
+export type ResponseForwarderOptions = {
 	readonly caller: Caller;
 	readonly codec: RequestCodec;
-	/** An attempt's first event came. */
-	readonly onFirstEvent: (follower: AttemptFollower) => void;
-	/** The caller has caught up with what was written. */
+	/** Called at the first event of an attempt. */
+	readonly onFirstEvent: (state: AttemptState) => void;
+	/** Called when the caller has read what was written. */
 	readonly onDrained: () => void;
 };
 
-/** An answer up to this size is held until it is whole, so that one cut short can still be asked for again. */
-const heldBytes = 512 * 1024;
+/** A response up to this size is buffered until it is complete, so that the request can still be retried if it is truncated. */
+const maxBufferedBytes = 512 * 1024;
 
 /**
- * Passes what endpoints answer on to the caller: whole events as they come, other answers once they are whole or large. What it passes of
- * several attempts is one answer without a gap or a repeat.
+ * Forwards the responses of endpoints to the caller: complete events as they arrive, other responses once they are complete or
+ * large. The caller gets the output of several attempts as one response without gaps or repeats.
  */
-export class AnswerPasser {
-	static create(options: AnswerPasserOptions): AnswerPasser {
-		return new AnswerPasser(options);
+export class ResponseForwarder {
+	static create(options: ResponseForwarderOptions): ResponseForwarder {
+		return new ResponseForwarder(options);
 	}
 
-	/** When the caller's first event came, from whichever attempt. */
+	/** When the caller got its first event, from any attempt. */
 	firstEventAt: number | undefined;
-	/** The last event that the caller has. */
+	/** Id of the last event that the caller was sent. */
 	lastEventId: string | undefined;
-	/** True while the caller reads too slowly, and its endpoint is held up. */
+	/** True while the caller reads too slowly and the endpoint's stream is paused. */
 	isPaused = false;
-	readonly #options: AnswerPasserOptions;
+	readonly #options: ResponseForwarderOptions;
 
-	private constructor(options: AnswerPasserOptions) {
+	private constructor(options: ResponseForwarderOptions) {
 		this.#options = options;
 	}
 
-	/** Takes what one attempt has met; an outcome ends the attempt. */
-	take(follower: AttemptFollower, event: AttemptEvent): Outcome | undefined {
+	/** Handles an event of an attempt; a returned outcome ends the attempt. */
+	handle(state: AttemptState, event: AttemptEvent): Outcome | undefined {
 		switch (event.type) {
 			case 'head': {
-				return follower.head(event);
+				return state.handleHead(event);
 			}
 
 			case 'data': {
-				return this.#takeData(follower, event.bytes);
+				return this.#handleData(state, event.bytes);
 			}
 
 			case 'end': {
-				return this.#takeEnd(follower);
+				return this.#handleEnd(state);
 			}
 
 			case 'broken': {
@@ -58,95 +58,95 @@
 		}
 	}
 
-	#takeData(follower: AttemptFollower, bytes: Uint8Array): Outcome | undefined {
-		if (follower.isPassing) {
-			this.#write(follower, bytes);
+	#handleData(state: AttemptState, bytes: Uint8Array): Outcome | undefined {
+		if (state.isForwarding) {
+			this.#write(state, bytes);
 			return undefined;
 		}
 
-		if (follower.isStream) {
-			return this.#takeEvents(follower, bytes);
+		if (state.isStream) {
+			return this.#handleEvents(state, bytes);
 		}
 
-		follower.hold(bytes);
-		if (follower.heldBytes > heldBytes) {
-			this.#options.caller.head(follower.status, this.#options.codec.responseHeaders(follower.rawHeaders));
-			this.#write(follower, follower.takeHeld());
-			follower.isPassing = true;
+		state.buffer(bytes);
+		if (state.bufferedBytes > maxBufferedBytes) {
+			this.#options.caller.writeHead(state.status, this.#options.codec.responseHeaders(state.rawHeaders));
+			this.#write(state, state.takeBuffered());
+			state.isForwarding = true;
 		}
 
 		return undefined;
 	}
 
-	#takeEvents(follower: AttemptFollower, bytes: Uint8Array): Outcome | undefined {
+	#handleEvents(state: AttemptState, bytes: Uint8Array): Outcome | undefined {
 		const {caller, codec, onFirstEvent} = this.#options;
 		let events;
 		try {
-			events = follower.splitter.push(bytes);
+			events = state.splitter.push(bytes);
 		} catch (error) {
 			return {type: 'failed', verdict: Verdict.mayHaveRun, reason: String(error)};
 		}
 
 		for (const event of events) {
 			const now = performance.now();
-			if (follower.firstEventAt === undefined) {
-				onFirstEvent(follower);
+			if (state.firstEventAt === undefined) {
+				onFirstEvent(state);
 				this.firstEventAt ??= now;
 			}
 
-			follower.event(now);
-			if (!isAfter(event.id, this.lastEventId)) {
+			state.recordEvent(now);
+			if (!isNextEventId(event.id, this.lastEventId)) {
 				return {type: 'failed', verdict: Verdict.mayHaveRun, reason: `event ${event.id} after ${this.lastEventId}`};
 			}
 
-			if (!caller.hasAnswer) {
-				caller.head(follower.status, codec.responseHeaders(follower.rawHeaders));
+			if (!caller.hasResponse) {
+				caller.writeHead(state.status, codec.responseHeaders(state.rawHeaders));
 			}
 
 			this.lastEventId = event.id ?? this.lastEventId;
-			this.#write(follower, event.bytes);
+			this.#write(state, event.bytes);
 		}
 
 		return undefined;
 	}
 
-	#write(follower: AttemptFollower, bytes: Uint8Array): void {
+	#write(state: AttemptState, bytes: Uint8Array): void {
 		const hasRoom = this.#options.caller.write(bytes, this.#options.onDrained);
 		if (!hasRoom && !this.isPaused) {
 			this.isPaused = true;
-			follower.attempt.pause();
+			state.attempt.pause();
 		}
 	}
 
-	#takeEnd(follower: AttemptFollower): Outcome {
+	#handleEnd(state: AttemptState): Outcome {
 		const {caller, codec} = this.#options;
-		if (follower.isPassing) {
+		if (state.isForwarding) {
 			caller.end();
 			return {type: 'done'};
 		}
 
-		if (follower.isStream) {
-			return this.#endStream(follower);
+		if (state.isStream) {
+			return this.#endStream(state);
 		}
 
-		const answer = {status: follower.status, headers: follower.rawHeaders, body: follower.takeHeld()};
-		if (follower.isFailure) {
-			return {type: 'failed', verdict: Verdict.ran, reason: `status ${follower.status}`, endpointAnswer: answer};
+		const response = {status: state.status, headers: state.rawHeaders, body: state.takeBuffered()};
+		if (state.isServerError) {
+			return {type: 'failed', verdict: Verdict.ran, reason: `status ${state.status}`, endpointResponse: response};
 		}
 
-		caller.head(answer.status, codec.responseHeaders(answer.headers));
-		caller.end(answer.body);
+		caller.writeHead(response.status, codec.responseHeaders(response.headers));
+		caller.end(response.body);
 		return {type: 'done'};
 	}
 
-	#endStream(follower: AttemptFollower): Outcome {
+	#endStream(state: AttemptState): Outcome {
 		const {caller, codec} = this.#options;
-		if (follower.splitter.rest.length > 0) {
+		if (state.splitter.rest.length > 0) {
 			return {type: 'failed', verdict: Verdict.mayHaveRun, reason: 'ended within an event'};
 		}
 
-		if (!caller.hasAnswer) {
-			caller.head(follower.status, codec.responseHeaders(follower.rawHeaders));
+		if (!caller.hasResponse) {
+			caller.writeHead(state.status, codec.responseHeaders(state.rawHeaders));
 		}
 
 		caller.end();
@@ -154,8 +154,8 @@
 	}
 }
 
-/** Event ids that are numbers only rise; others say nothing. */
-function isAfter(id: string | undefined, last: string | undefined): boolean {
+/** Numeric event ids must be consecutive; other ids are not checked. */
+function isNextEventId(id: string | undefined, last: string | undefined): boolean {
 	if (id === undefined || last === undefined || !/^\d+$/v.test(id) || !/^\d+$/v.test(last)) {
 		return true;
 	}
--- a/src/gateway/routing-state.ts
+++ b/src/gateway/routing-state.ts
@@ -1,27 +1,30 @@
 import {EndpointDirectory, type EndpointChange, type EndpointEntry, isLaterIncarnation, positionOf, RoutingTable, type RoutingTableInput} from '../routing/index.js';
 import {type PartLogger} from '../telemetry/index.js';
 
-/** What the process newly believes; only news, never a repetition. */
-export type BeliefChange
+/** A change of the routing state; updates without an effect are not reported. */
+export type RoutingStateChange
 	= | {readonly type: 'table'; readonly input: RoutingTableInput}
 		| {readonly type: 'endpoints'; readonly changes: readonly EndpointChange[]}
-	/** Endpoints that have started again under their ids. */
+	/** Endpoints that have restarted under their ids. */
 		| {readonly type: 'reborn'; readonly ids: readonly string[]}
-	/** The store has come back from a copy, and what it lacks is on trust. */
+	/**
+	 * The store was restored from a backup (its era, the generation number of its log, has risen), and endpoints that it lacks
+	 * are kept as unconfirmed.
+	 */
 		| {readonly type: 'era'; readonly era: number};
 
-/** Who told: the store or another instance. */
-export type BeliefSource = 'store' | `instance ${string}`;
+/** Source of an update: the store or another instance. */
+export type UpdateSource = 'store' | `instance ${string}`;
 
-/** Endpoints that one line names at most. */
-const mostNamed = 20;
+/** Limit for the endpoints that one log line names. */
+const maxLoggedEndpoints = 20;
 
-type Listener = (change: BeliefChange, source: BeliefSource) => void;
+type Listener = (change: RoutingStateChange, source: UpdateSource) => void;
 
 /**
- * The newest routing table and endpoints that anyone has told this process of. Failure: a slow reader
- * or a peer brings an older version after a newer one was used. Symptom: a key that was taken away
- * works again. Versions, eras, places in the store's log and revisions only move forward here, whoever tells.
+ * The newest routing table and endpoints that this process has received from any source. Table versions, eras, positions in
+ * the store's log and revisions never decrease here: a slow reader or a peer may bring an older version after a newer one was
+ * in force, and a key that was revoked would work again.
  */
 export class RoutingState {
 	static create(logger: PartLogger): RoutingState {
@@ -31,7 +34,7 @@
 	readonly #logger: PartLogger;
 	readonly #listeners: Listener[] = [];
 	#table: RoutingTable | undefined;
-	#input: RoutingTableInput | undefined;
+	#tableInput: RoutingTableInput | undefined;
 	#directory = EndpointDirectory.create();
 
 	private constructor(logger: PartLogger) {
@@ -43,7 +46,7 @@
 	}
 
 	get tableInput(): RoutingTableInput | undefined {
-		return this.#input;
+		return this.#tableInput;
 	}
 
 	get directory(): EndpointDirectory {
@@ -54,10 +57,10 @@
 		this.#listeners.push(listener);
 	}
 
-	applyTable(input: RoutingTableInput, source: BeliefSource): void {
+	applyTable(input: RoutingTableInput, source: UpdateSource): void {
 		const before = this.#table?.version;
 		if (before !== undefined && input.version < before) {
-			this.#logger.info('Older routing table passed over.', {version: input.version, inForce: before, source});
+			this.#logger.info('Ignored an older routing table.', {version: input.version, inForce: before, source});
 			return;
 		}
 
@@ -66,28 +69,28 @@
 		}
 
 		this.#table = RoutingTable.create(input);
-		this.#input = input;
+		this.#tableInput = input;
 		this.#logger.info('Routing table in force.', {version: input.version, before, source, routes: input.routes.length, workspaces: this.#table.workspaceCount});
-		this.#tell({type: 'table', input}, source);
+		this.#notify({type: 'table', input}, source);
 	}
 
-	applyEndpointChanges(changes: readonly EndpointChange[], source: BeliefSource, now: number): void {
+	applyEndpointChanges(changes: readonly EndpointChange[], source: UpdateSource, now: number): void {
 		const before = this.#directory;
 		this.#directory = before.apply(changes, now);
-		this.#announce(before, changes, source);
-		this.#tellEra(before, source, now);
+		this.#publishChanges(before, changes, source);
+		this.#publishEra(before, source, now);
 	}
 
 	/**
-	 * A whole reading of the store, made in an era: what it no longer names has ended, or is kept on trust where the store has come back from
-	 * a copy. Returns how many are.
+	 * Applies a snapshot of the store, read in an era: endpoints that it lacks have ended, or are kept as unconfirmed if the
+	 * store was restored from a backup. Returns the number of unconfirmed endpoints.
 	 */
-	offerAllEndpoints(changes: readonly EndpointChange[], era: number, now: number): number {
+	applyEndpointSnapshot(changes: readonly EndpointChange[], era: number, now: number): number {
 		const before = this.#directory;
 		const ids = new Set(changes.flatMap(change => change.type === 'registered' ? [change.record.id] : []));
 		this.#directory = before.apply(changes, now).applySnapshot(ids, era, now);
-		this.#announce(before, [...changes, ...ended(before, this.#directory)], 'store');
-		this.#tellEra(before, 'store', now);
+		this.#publishChanges(before, [...changes, ...endedBySnapshot(before, this.#directory)], 'store');
+		this.#publishEra(before, 'store', now);
 		return this.#directory.unconfirmed(now).length;
 	}
 
@@ -95,68 +98,70 @@
 		this.#directory = this.#directory.prune(now);
 	}
 
-	#announce(before: EndpointDirectory, changes: readonly EndpointChange[], source: BeliefSource): void {
-		const news = changes.filter(change => this.#isNews(before, change));
-		for (const change of news) {
-			const entry = this.#directory.entries.get(idOf(change));
+	#publishChanges(before: EndpointDirectory, changes: readonly EndpointChange[], source: UpdateSource): void {
+		const effective = changes.filter(change => this.#isEffective(before, change));
+		for (const change of effective) {
+			const entry = this.#directory.entries.get(endpointIdOf(change));
 			this.#logger.info(entry?.endedAt === undefined ? 'Endpoint registered.' : 'Endpoint ended.', {
-				endpoint: idOf(change), service: entry?.record.service, isLeaving: entry?.record.isLeaving, offset: change.offset, source,
+				endpoint: endpointIdOf(change), service: entry?.record.service, isLeaving: entry?.record.isLeaving, offset: change.offset, source,
 			});
 		}
 
-		if (news.length > 0) {
-			this.#tell({type: 'endpoints', changes: news}, source);
+		if (effective.length > 0) {
+			this.#notify({type: 'endpoints', changes: effective}, source);
 		}
 
-		const reborn = [...new Set(news.map(change => idOf(change)))].filter(id => this.#isReborn(before, id));
-		if (reborn.length > 0) {
-			this.#logger.info('Endpoints started again under their ids.', {endpoints: reborn, source});
-			this.#tell({type: 'reborn', ids: reborn}, source);
+		const restarted = [...new Set(effective.map(change => endpointIdOf(change)))].filter(id => this.#hasRestarted(before, id));
+		if (restarted.length > 0) {
+			this.#logger.info('Endpoints started again under their ids.', {endpoints: restarted, source});
+			this.#notify({type: 'reborn', ids: restarted}, source);
 		}
 	}
 
-	#tellEra(before: EndpointDirectory, source: BeliefSource, now: number): void {
+	#publishEra(before: EndpointDirectory, source: UpdateSource, now: number): void {
 		const {era} = this.#directory;
 		if (era <= before.era) {
 			return;
 		}
 
-		const onTrust = this.#directory.unconfirmed(now).map(({record}) => record.id);
-		this.#logger.info('Endpoints of a newer era.', {era, before: before.era, source, onTrust: onTrust.length, endpoints: onTrust.slice(0, mostNamed)});
-		this.#tell({type: 'era', era}, source);
+		const unconfirmed = this.#directory.unconfirmed(now).map(({record}) => record.id);
+		this.#logger.info('Endpoints of a newer era.', {era, before: before.era, source, onTrust: unconfirmed.length, endpoints: unconfirmed.slice(0, maxLoggedEndpoints)});
+		this.#notify({type: 'era', era}, source);
 	}
 
-	#isReborn(before: EndpointDirectory, id: string): boolean {
-		const held = before.entries.get(id);
+	#hasRestarted(before: EndpointDirectory, id: string): boolean {
+		const previous = before.entries.get(id);
 		const next = this.#directory.entries.get(id);
-		return held !== undefined && next !== undefined && isLaterIncarnation(next.record, held.record);
+		return previous !== undefined && next !== undefined && isLaterIncarnation(next.record, previous.record);
 	}
 
-	#isNews(before: EndpointDirectory, change: EndpointChange): boolean {
-		const held = before.entries.get(idOf(change));
-		const next = this.#directory.entries.get(idOf(change));
-		return next !== undefined && (held === undefined || (held.endedAt === undefined) !== (next.endedAt === undefined) || isLaterIncarnation(next.record, held.record) || isNamedAgain(held, next));
+	#isEffective(before: EndpointDirectory, change: EndpointChange): boolean {
+		const previous = before.entries.get(endpointIdOf(change));
+		const next = this.#directory.entries.get(endpointIdOf(change));
+		return next !== undefined && (
+			previous === undefined || (previous.endedAt === undefined) !== (next.endedAt === undefined) || isLaterIncarnation(next.record, previous.record) || isRegisteredInNewerEra(previous, next)
+		);
 	}
 
-	#tell(change: BeliefChange, source: BeliefSource): void {
+	#notify(change: RoutingStateChange, source: UpdateSource): void {
 		for (const listener of this.#listeners) {
 			listener(change, source);
 		}
 	}
 }
 
-function idOf(change: EndpointChange): string {
+function endpointIdOf(change: EndpointChange): string {
 	return change.type === 'registered' ? change.record.id : change.id;
 }
 
-/** Those that a whole reading has ended. */
-function ended(before: EndpointDirectory, after: EndpointDirectory): EndpointChange[] {
+/** Removals of the endpoints that a snapshot has ended. */
+function endedBySnapshot(before: EndpointDirectory, after: EndpointDirectory): EndpointChange[] {
 	return [...after.entries.values()]
 		.filter(({record, endedAt}) => endedAt !== undefined && before.entries.get(record.id)?.endedAt === undefined)
 		.map(({record, registrations}) => ({type: 'removed', ...positionOf(registrations), id: record.id}));
 }
 
-/** True if it is registered in a newer era than before. */
-function isNamedAgain(held: EndpointEntry, next: EndpointEntry): boolean {
-	return positionOf(next.registrations).era > positionOf(held.registrations).era;
+/** Whether the endpoint is registered in a newer era than before. */
+function isRegisteredInNewerEra(previous: EndpointEntry, next: EndpointEntry): boolean {
+	return positionOf(next.registrations).era > positionOf(previous.registrations).era;
 }
