--- a/src/gateway/routing-table-puller.ts
+++ b/src/gateway/routing-table-puller.ts
@@ -3,34 +3,34 @@
 /** A peer that has a routing table in force. */
 export type TableHolder = {readonly instance: string; readonly version: number; readonly requestTable: () => void};
 
-export type TablePullOptions = {
+export type RoutingTablePullerOptions = {
 	/** The version in force here. */
 	readonly ownVersion: () => number | undefined;
-	/** The peers with the versions that they told. */
+	/** The peers with the versions that they reported. */
 	readonly holders: () => readonly TableHolder[];
 	readonly logger: PartLogger;
-	/** A peer has read from the store for long what this instance has not. */
+	/** A peer has had a newer version for long that this instance has not read from the store. */
 	readonly onStaleTable: () => void;
 };
 
 /**
- * Failure: each instance sends each new table to each other one. Symptom: ten changes in four seconds are
- * 25 x 15 kB each, both ways, which fills the link of a small instance; connections to endpoints then
- * take over 350 ms, and all of them look unreachable. Only the version is told. Who lacks it for longer
- * than the store needs asks one of those that have it: at once where it has no table at all.
+ * Peers report only the version of a new routing table. An instance that lacks it for longer than a read of the store takes
+ * requests it from one of the peers that have it, and at once if it has no table at all. If each instance sent each new table
+ * to all others, ten changes in four seconds would be 25 x 15 kB each, in both directions, which fills the link of a small
+ * instance: connections to endpoints would take over 350 ms, and all endpoints would look unreachable.
  */
-const pullMilliseconds = {withoutTable: 100, behind: 400, spread: 200};
+const pullDelayMilliseconds = {withoutTable: 100, behind: 400, spread: 200};
 
-/** Asks peers for a newer routing table than the one in force, where the store has not brought it in time. */
+/** Requests a newer routing table than the one in force from a peer if the store has not delivered it in time. */
 export class RoutingTablePuller implements Disposable {
-	static create(options: TablePullOptions): RoutingTablePuller {
+	static create(options: RoutingTablePullerOptions): RoutingTablePuller {
 		return new RoutingTablePuller(options);
 	}
 
-	readonly #options: TablePullOptions;
+	readonly #options: RoutingTablePullerOptions;
 	#timer: NodeJS.Timeout | undefined;
 
-	private constructor(options: TablePullOptions) {
+	private constructor(options: RoutingTablePullerOptions) {
 		this.#options = options;
 	}
 
@@ -38,28 +38,31 @@
 		clearTimeout(this.#timer);
 	}
 
-	/** A peer told of a version; asks later if it is still newer then, and again as long as it is not here. */
+	/**
+	 * A peer reported its version: requests the table after a delay if that version is still newer, and again until it is in
+	 * force here.
+	 */
 	handlePeerVersion(): void {
 		if (this.#timer !== undefined || this.#newer().length === 0) {
 			return;
 		}
 
-		const least = this.#options.ownVersion() === undefined ? pullMilliseconds.withoutTable : pullMilliseconds.behind;
+		const delay = this.#options.ownVersion() === undefined ? pullDelayMilliseconds.withoutTable : pullDelayMilliseconds.behind;
 		this.#timer = setTimeout(() => {
 			this.#timer = undefined;
-			this.#ask();
-		}, least + (Math.random() * pullMilliseconds.spread));
+			this.#request();
+		}, delay + (Math.random() * pullDelayMilliseconds.spread));
 	}
 
-	#ask(): void {
+	#request(): void {
 		const newer = this.#newer();
-		const asked = newer[Math.floor(Math.random() * newer.length)];
-		if (asked === undefined) {
+		const peer = newer[Math.floor(Math.random() * newer.length)];
+		if (peer === undefined) {
 			return;
 		}
 
-		this.#options.logger.info('Asking a peer for its routing table.', {peer: asked.instance, version: asked.version, before: this.#options.ownVersion()});
-		asked.requestTable();
+		this.#options.logger.info('Requesting the routing table from a peer.', {peer: peer.instance, version: peer.version, before: this.#options.ownVersion()});
+		peer.requestTable();
 		this.#options.onStaleTable();
 		this.handlePeerVersion();
 	}
--- a/src/gateway/store-feeds.ts
+++ b/src/gateway/store-feeds.ts
@@ -6,83 +6,84 @@
 import {type PeerRecord} from './peer-roster.js';
 import {type Feed} from './types.js';
 
-/** An instance announced itself, or took that back. */
+/** An instance's announcement, or its withdrawal if `record` is undefined. */
 export type InstanceAnnouncement = {readonly instance: string; readonly record: PeerRecord | undefined};
 
-/** The parts of the store that an instance follows. */
+/** The feeds of the store that an instance follows. */
 export type StoreFeeds = {
 	readonly routing: Feed<RoutingTableInput>;
 	readonly endpoints: Feed<EndpointChange>;
 	readonly instances: Feed<InstanceAnnouncement>;
 };
 
-/** Who is told of announcements, and knows how many instances tell each other what they read. */
+/** Receives announcements of instances, and knows how many instances notify each other of what they read. */
 export type PeerRegistry = {
 	readonly view: FleetView;
 	addPeers(records: readonly PeerRecord[], isWhole: boolean): void;
 	removePeer(instance: string): void;
 };
 
-export type FollowOptions = {
+export type FollowFeedsOptions = {
 	readonly routingState: RoutingState;
 	readonly peers: PeerRegistry;
-	/** An endpoint that says it leaves goes on serving for so long. */
+	/** How long a draining endpoint still serves requests. */
 	readonly drainMilliseconds: number;
-	/** What the operator changes is to be in force within this. */
+	/** Time within which a change by the operator must be in force. */
 	readonly applyMilliseconds: number;
 	readonly logger: PartLogger;
 	readonly random: () => number;
-	/** A feed was read anew since the store came back from a copy. */
+	/** Called when a feed's snapshot was read after the store was restored from a backup. */
 	readonly onEra: (change: EraChange) => void;
 };
 
 /** The followers of the store's feeds. */
 export type FeedFollowers = AsyncDisposable & {readonly endpoints: FeedFollower<EndpointChange>; readonly routing: FeedFollower<RoutingTableInput>};
 
-/** Follows all that the store tells, into the beliefs and to the peers. */
-export function followFeeds(store: StoreFeeds, {routingState: beliefs, peers, drainMilliseconds, applyMilliseconds, logger, random, onEra}: FollowOptions): FeedFollowers {
-	const others = (): number => peers.view.instances - 1;
+/** Follows all feeds of the store and applies them to the routing state and the peers. */
+export function followFeeds(store: StoreFeeds, {routingState, peers, drainMilliseconds, applyMilliseconds, logger, random, onEra}: FollowFeedsOptions): FeedFollowers {
+	const otherInstances = (): number => peers.view.instances - 1;
 	const common = {
-		logger, random, others, onEra, applyMilliseconds,
+		logger, random, otherInstances, onEra, applyMilliseconds,
 		onFailed() {
 			routing.abortLongPoll();
 		},
 	};
-	const offerTables = (tables: readonly RoutingTableInput[]): void => {
+	const applyTables = (tables: readonly RoutingTableInput[]): void => {
 		for (const table of tables) {
-			beliefs.applyTable(table, 'store');
+			routingState.applyTable(table, 'store');
 		}
 	};
 
 	const routing: FeedFollower<RoutingTableInput> = FeedFollower.start({
 		...common, feed: store.routing, waitMilliseconds: reading => routingLongPollWait(reading, random()), pauseMilliseconds: () => 0,
-		onChanges: offerTables,
-		onWhole(tables) {
-			offerTables(tables);
+		onChanges: applyTables,
+		onSnapshot(tables) {
+			applyTables(tables);
 			return 0;
 		},
 	});
 	const endpoints = FeedFollower.start({
-		...common, feed: store.endpoints, waitMilliseconds: () => 0, pauseMilliseconds: pause => endpointPollInterval({others: others(), drainMilliseconds}, pause),
+		...common, feed: store.endpoints, waitMilliseconds: () => 0, pauseMilliseconds: pause => endpointPollInterval({others: otherInstances(), drainMilliseconds}, pause),
 		onChanges(changes) {
-			beliefs.applyEndpointChanges(changes, 'store', performance.now());
+			routingState.applyEndpointChanges(changes, 'store', performance.now());
 		},
-		onWhole: (changes, era) => beliefs.offerAllEndpoints(changes, era, performance.now()),
+		onSnapshot: (changes, era) => routingState.applyEndpointSnapshot(changes, era, performance.now()),
 	});
 	const instances = FeedFollower.start({
 		...common, feed: store.instances, waitMilliseconds: () => 0, pauseMilliseconds: instancePollInterval,
 		onChanges(announcements) {
-			takeAnnouncements(peers, announcements);
+			applyAnnouncements(peers, announcements);
 		},
-		// Nobody is forgotten because the store doesn't name it: it may have come back from a copy, and who is gone answers no dial.
-		onWhole(announcements) {
+		// An instance that the snapshot lacks is not removed: the store may have been restored from a backup, and an instance that
+		// is gone does not respond to dials.
+		onSnapshot(announcements) {
 			peers.addPeers(announcements.flatMap(({record}) => record ?? []), true);
 			return 0;
 		},
 	});
-	beliefs.onChange(change => {
+	routingState.onChange(change => {
 		if (change.type === 'era') {
-			endpoints.look();
+			endpoints.pollNow();
 		}
 	});
 	return {
@@ -94,7 +95,7 @@
 	};
 }
 
-function takeAnnouncements(peers: PeerRegistry, announcements: readonly InstanceAnnouncement[]): void {
+function applyAnnouncements(peers: PeerRegistry, announcements: readonly InstanceAnnouncement[]): void {
 	for (const {instance, record} of announcements) {
 		if (record === undefined) {
 			peers.removePeer(instance);
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -6,87 +6,88 @@
 /** Header names and values in turn, as Node's `rawHeaders`. */
 export type RawHeaders = readonly string[];
 
-/** What a caller says about its request. */
+/** What the headers of a request say. */
 export type RequestMetadata = {
-	/** The caller's id of this one sending. */
+	/** Id that the caller gave to this request; a caller's retry has another one. */
 	readonly id: string;
-	/** How long the caller waits, from its sending. */
+	/** Time until the caller gives up, counted from when it sent the request. */
 	readonly deadlineMilliseconds: number | undefined;
 	readonly key: string | undefined;
-	/** The prompt's parts in order; empty for what is no prompt. */
+	/** Prompt parts in order; empty if the request has no prompt. */
 	readonly parts: readonly PromptPart[];
-	/** Tokens that the answer is expected to have. */
+	/** Expected number of tokens in the response. */
 	readonly outputTokens: number;
 };
 
-/** A request on its way to an endpoint. */
+/** A request as it is sent to an endpoint. */
 export type ForwardedRequest = {
 	readonly rawHeaders: RawHeaders;
 	readonly bodyBytes: number | undefined;
 	readonly endpoint: string;
 	readonly workspace: Workspace | undefined;
-	/** What is left of the caller's time and the route's. */
+	/** Time left until the caller's deadline and the route's timeout. */
 	readonly remainingMilliseconds: number;
-	/** The last event that the caller has, when a stream goes on elsewhere. */
+	/** Id of the last event that the caller has received, when a stream resumes at another endpoint. */
 	readonly resumeAfter: string | undefined;
-	/** The address of an engine that keeps more of the prompt, from which the endpoint is to take it. */
+	/** Address of an engine that has cached more of the prompt, from which the endpoint fetches that part. */
 	readonly fetchFrom: string | undefined;
 	/**
-	 * Its urgency is the request's rank at an engine, which puts back the least urgent first. Failure: an engine is told a place among the
-	 * pairs of workspace and route of one routing table. Symptom: tickets of most workspaces are put back for drafts of one that goes
-	 * first, and after a change of workspaces for drafts that began before it. A route's number means the same for all and in every table.
+	 * The urgency of the route becomes the request's priority at an engine, which preempts the least urgent first. It must not
+	 * be a rank among the pairs of workspace and route of one routing table: requests of most workspaces would then be
+	 * preempted for less urgent ones of the workspace that goes first, and after a change of workspaces for less urgent ones
+	 * that began before it. A route's urgency means the same for all workspaces and in every table.
 	 */
 	readonly route: Route;
 };
 
-/** What an endpoint says about its answer. */
+/** What the headers of a response say. */
 export type ResponseMetadata = {
 	readonly requestId: string | undefined;
 	/** The endpoint states that it did not run the request. */
 	readonly isNotRun: boolean;
 	/** Another endpoint has the address now. */
 	readonly isMisdirected: boolean;
-	/** False for a success that can't be the endpoint's own whole answer. */
+	/** False for a success response that can't be the endpoint's own complete response. */
 	readonly isGenuine: boolean;
-	/** Statuses that promise the caller that its request has not run. */
+	/** True if the status promises the caller that its request has not run and the endpoint does not state so itself. */
 	readonly promisesNotRun: boolean;
 	readonly retryAfterMilliseconds: number | undefined;
 };
 
-/** What the adapter of a platform translates for each request. */
+/** Translation between a platform's headers and the gateway, provided by the platform's adapter. */
 export type RequestCodec = {
-	/** The facts, or what is wrong with the headers. */
+	/** Parses the request headers, or says what is wrong with them. */
 	readRequest(headers: IncomingHttpHeaders): {readonly type: 'facts'; readonly facts: RequestMetadata} | {readonly type: 'wrong'; readonly message: string};
 	requestHeaders(forwarding: ForwardedRequest): string[];
 	readResponse(status: number, headers: IncomingHttpHeaders): ResponseMetadata;
-	/** The headers that go back to the caller. */
+	/** Headers that are returned to the caller. */
 	responseHeaders(rawHeaders: RawHeaders): string[];
-	/** How long callers of a route wait for a first byte or event before they leave. */
+	/** How long callers of a route wait for a first byte or event before they disconnect. */
 	patienceMilliseconds(route: Route): number;
-	/** The headers of an answer of our own. */
+	/** Headers of a response that the gateway makes itself. */
 	gatewayResponseHeaders(facts: RequestMetadata | undefined): string[];
 };
 
-/** A page of a feed: what is new, and where to go on. */
+/** A page of a feed: its items, and the position after them. */
 export type FeedPage<Item> = {readonly items: readonly Item[]; readonly next: LogPosition};
 
-/** What a reading of changes has found. */
+/** Result of reading changes. */
 export type FeedReading<Item>
 	= | {readonly type: 'page'; readonly page: FeedPage<Item>}
-	/** That part of the history is not kept any more. */
+	/** The history from that position is no longer retained. */
 		| {readonly type: 'gone'}
-	/** The store has come back from a copy since the place that was asked for. */
+	/** The store was restored from a backup since that position: its era, the generation number of the store's log, has risen. */
 		| {readonly type: 'new-era'; readonly era: number}
-	/** Whoever asked gave the reading up. */
+	/** The read was aborted by the reader. */
 		| {readonly type: 'given-up'};
 
-/** Part of the store that is read as newest values and then as changes. */
+/** A part of the store that is read as a snapshot and then as changes. */
 export type Feed<Item> = {
 	readonly name: string;
-	/** Every key's newest value, and the place from which changes go on. */
+	/** The newest value of each key, and the position from which changes continue. */
 	readSnapshot(): Promise<FeedPage<Item>>;
-	/** Changes from a place on; waits for the first one, unless it is given up. */
+	/** Changes from a position on; waits for the first one until the time is over or `signal` aborts (a long poll). */
 	readChanges(from: LogPosition, waitMilliseconds: number, signal?: AbortSignal): Promise<FeedReading<Item>>;
-	/** Calls at the first answer of any call that comes from a newer era. */
+	/** Calls the listener at the first response of any call that comes from a newer era. */
 	onEra(listener: (era: number) => void): void;
 };
