--- a/src/gateway/feed-follower.ts
+++ b/src/gateway/feed-follower.ts
@@ -19,9 +19,9 @@
 	/** Time within which a change must be known at every instance. */
 	readonly applyMilliseconds: number;
 	/** How long a read may wait at the store for the first change; 0 returns what is there. */
-	readonly waitMilliseconds: (reading: LongPoll) => number;
+	readonly waitMilliseconds: (longPoll: LongPoll) => number;
 	/** From the end of one read to the start of the next, by the number of reads so far. */
-	readonly pauseMilliseconds: (pause: PollPosition) => number;
+	readonly pauseMilliseconds: (position: PollPosition) => number;
 	/** Called with changes in their order. */
 	readonly onChanges: (items: readonly Item[]) => void;
 	/** Called with a snapshot and its era; returns how many entries that it lacks are kept as unconfirmed. */
@@ -55,7 +55,7 @@
 	#next: LogPosition | undefined;
 	/** Position before the store was restored from a backup. */
 	#positionBeforeRestore: LogPosition | undefined;
-	readonly #wake = channel<'look'>(1);
+	readonly #wake = channel<'wake'>(1);
 	/** Aborts the long poll that is in progress, if any. */
 	#longPoll: AbortController | undefined;
 	#isStoreUnresponsive = false;
@@ -84,7 +84,7 @@
 
 	/** Ends the pause and reads again. */
 	pollNow(): void {
-		tryDeliver(this.#wake, 'look');
+		tryDeliver(this.#wake, 'wake');
 	}
 
 	/**
--- a/src/gateway/peer-roster.ts
+++ b/src/gateway/peer-roster.ts
@@ -60,9 +60,9 @@
 	 * Adds announced instances; the newest announcement of an instance counts. Those of a snapshot were announced before this
 	 * instance started.
 	 */
-	addPeers(records: readonly PeerRecord[], isWhole: boolean): void {
+	addPeers(records: readonly PeerRecord[], isSnapshot: boolean): void {
 		for (const record of records.filter(({instance}) => instance !== this.#own.name)) {
-			if (isWhole) {
+			if (isSnapshot) {
 				this.#startedEarlier.add(record.instance);
 			}
 
--- a/src/gateway/peers.ts
+++ b/src/gateway/peers.ts
@@ -104,8 +104,8 @@
 	 * Adds announced instances; the newest announcement of an instance counts. A snapshot names those that were announced
 	 * before this one started.
 	 */
-	addPeers(records: readonly PeerRecord[], isWhole: boolean): void {
-		this.#roster.addPeers(records, isWhole);
+	addPeers(records: readonly PeerRecord[], isSnapshot: boolean): void {
+		this.#roster.addPeers(records, isSnapshot);
 		this.#options.onView(this.view);
 	}
 
@@ -182,8 +182,8 @@
 		connection.setBusy(true, heartbeatTimes);
 		connection.send({type: 'gateway-hello', protocol: protocolVersion, instance, incarnation, knowsEndpoints: knowsEndpoints()});
 		let link: Link | undefined;
-		for (let turn = yield * receive(connection.incoming); turn !== undefined; turn = yield * receive(connection.incoming)) {
-			for (const message of turn) {
+		for (let messages = yield * receive(connection.incoming); messages !== undefined; messages = yield * receive(connection.incoming)) {
+			for (const message of messages) {
 				link = this.#handleMessage(message, {connection, link, address});
 			}
 		}
--- a/src/gateway/placement-queue.ts
+++ b/src/gateway/placement-queue.ts
@@ -90,7 +90,7 @@
 
 	/**
 	 * Queues a request without a search of its own, by the wait that another request of its group has found. Returns true if
-	 * it was refused because it can't be started in time.
+	 * it was refused instead.
 	 */
 	enqueueWithGroup(request: PlacementRequest, endpointMilliseconds: number, now: number): boolean {
 		const candidates = this.#options.endpoints.candidatesOf(request.service);
--- a/src/gateway/store-feeds.ts
+++ b/src/gateway/store-feeds.ts
@@ -19,7 +19,7 @@
 /** Receives announcements of instances, and knows how many instances notify each other of what they read. */
 export type PeerRegistry = {
 	readonly view: FleetView;
-	addPeers(records: readonly PeerRecord[], isWhole: boolean): void;
+	addPeers(records: readonly PeerRecord[], isSnapshot: boolean): void;
 	removePeer(instance: string): void;
 };
 
@@ -55,7 +55,7 @@
 	};
 
 	const routing: FeedFollower<RoutingTableInput> = FeedFollower.start({
-		...common, feed: store.routing, waitMilliseconds: reading => routingLongPollWait(reading, random()), pauseMilliseconds: () => 0,
+		...common, feed: store.routing, waitMilliseconds: longPoll => routingLongPollWait(longPoll, random()), pauseMilliseconds: () => 0,
 		onChanges: applyTables,
 		onSnapshot(tables) {
 			applyTables(tables);
@@ -63,7 +63,7 @@
 		},
 	});
 	const endpoints = FeedFollower.start({
-		...common, feed: store.endpoints, waitMilliseconds: () => 0, pauseMilliseconds: pause => endpointPollInterval({others: otherInstances(), drainMilliseconds}, pause),
+		...common, feed: store.endpoints, waitMilliseconds: () => 0, pauseMilliseconds: position => endpointPollInterval({others: otherInstances(), drainMilliseconds}, position),
 		onChanges(changes) {
 			routingState.applyEndpointChanges(changes, 'store', performance.now());
 		},
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -58,7 +58,7 @@
 export type RequestCodec = {
 	/** Parses the request headers, or says what is wrong with them. */
 	readRequest(headers: IncomingHttpHeaders): {readonly type: 'facts'; readonly facts: RequestMetadata} | {readonly type: 'wrong'; readonly message: string};
-	requestHeaders(forwarding: ForwardedRequest): string[];
+	requestHeaders(request: ForwardedRequest): string[];
 	readResponse(status: number, headers: IncomingHttpHeaders): ResponseMetadata;
 	/** Headers that are returned to the caller. */
 	responseHeaders(rawHeaders: RawHeaders): string[];
