--- a/bench/harness/local-fleet.ts
+++ b/bench/harness/local-fleet.ts
@@ -7,7 +7,7 @@
 	createInstanceId, type EndpointId, type InstanceId, type TargetName, type ZoneName,
 } from '../../src/model/index.js';
 import {
-	CatalogueFollower, exchangeCatalogue, HttpLogClient, HttpMembershipClient, QuarantineLedger,
+	CatalogueFollower, handleCatalogueMessage, HttpLogClient, HttpMembershipClient, QuarantineLedger,
 } from '../../src/platform/index.js';
 import {type Placement, subsetPlacement} from '../../src/policy/placement/index.js';
 import {createSettings, type Scheduler, createTieredScheduler} from '../../src/policy/scheduler/index.js';
@@ -148,7 +148,7 @@
 			claims,
 			random: this.#options.random,
 			onPeerMessage(link, message) {
-				exchangeCatalogue(follower, message, reply => {
+				handleCatalogueMessage(follower, message, reply => {
 					link.send(reply);
 				});
 			},
@@ -235,7 +235,7 @@
 			quarantine,
 			catalogueOffset: () => follower.current().offset,
 			onPeerMessage(message, reply) {
-				exchangeCatalogue(follower, message, reply);
+				handleCatalogueMessage(follower, message, reply);
 			},
 		});
 		return {side, instance, follower};
--- a/src/bin/cassiaflow-entry.ts
+++ b/src/bin/cassiaflow-entry.ts
@@ -4,7 +4,7 @@
 import {Entry, EntryTelemetry} from '../entry/index.js';
 import {createInstanceId, type InstanceId, type ZoneName} from '../model/index.js';
 import {
-	CatalogueFollower, exchangeCatalogue, HttpLogClient, HttpMembershipClient, QuarantineLedger,
+	CatalogueFollower, handleCatalogueMessage, HttpLogClient, HttpMembershipClient, QuarantineLedger,
 } from '../platform/index.js';
 import {subsetPlacement} from '../policy/placement/index.js';
 import {AdminServer, createLogger, createOperatorRoutes, DecisionJournal, forPart, Metrics,
@@ -53,7 +53,7 @@
 		quarantine,
 		claims,
 		onPeerMessage(link, message) {
-			exchangeCatalogue(follower, message, reply => {
+			handleCatalogueMessage(follower, message, reply => {
 				link.send(reply);
 			});
 		},
--- a/src/bin/cassiaflow-side.ts
+++ b/src/bin/cassiaflow-side.ts
@@ -5,7 +5,7 @@
 } from '../model/index.js';
 import {type Catalogue} from '../catalogue/index.js';
 import {
-	CatalogueFollower, exchangeCatalogue, HttpLogClient, HttpMembershipClient, HttpWeightStoreClient, QuarantineLedger,
+	CatalogueFollower, handleCatalogueMessage, HttpLogClient, HttpMembershipClient, HttpWeightStoreClient, QuarantineLedger,
 } from '../platform/index.js';
 import {createSettings, createTieredScheduler, type TieredState, type Violation} from '../policy/scheduler/index.js';
 import {ModelReconciler, OrderSender} from '../side/orders/index.js';
@@ -63,7 +63,7 @@
 		quarantine: backend.type === 'engine' ? {ledger, isHealthy: async () => control.isHealthy()} : undefined,
 		catalogueOffset: () => follower.current().offset,
 		onPeerMessage(message, reply) {
-			exchangeCatalogue(follower, message, reply);
+			handleCatalogueMessage(follower, message, reply);
 		},
 	});
 	await using _watch = backend.type === 'engine' ? EndpointWatch.create(control, side) : undefined;
--- a/src/bin/gateway-process.ts
+++ b/src/bin/gateway-process.ts
@@ -14,7 +14,7 @@
 	readonly readyPath: string;
 	openStore(address: string, logger: PartLogger): GatewayStore;
 	/** Asks a model engine which prompt parts it keeps. */
-	readKeptParts(address: string): Promise<readonly PromptPart[]>;
+	readCachedParts(address: string): Promise<readonly PromptPart[]>;
 };
 
 export type GatewayStore = AsyncDisposable & StoreFeeds & {
@@ -37,7 +37,7 @@
 	readonly settings: GatewaySettings;
 	readonly log: PartLogger;
 	readonly store: GatewayStore;
-	readonly beliefs: RoutingState;
+	readonly routingState: RoutingState;
 	readonly peers: Peers;
 	readonly dispatcher: Dispatcher;
 	readonly gateway: Gateway;
@@ -51,10 +51,10 @@
 	static async create({settings, adapter, logger}: {settings: GatewaySettings; adapter: GatewayAdapter; logger: Logger}): Promise<GatewayProcess> {
 		const incarnation = createInstanceId('gateway');
 		const metrics = Metrics.create({role: 'gateway'});
-		const beliefs = RoutingState.create(forPart(logger, 'Beliefs'));
+		const routingState = RoutingState.create(forPart(logger, 'Beliefs'));
 		const store = adapter.openStore(settings.storeAddress, forPart(logger, 'Store'));
 		const channels = ConnectionPools.create();
-		beliefs.onChange(change => {
+		routingState.onChange(change => {
 			for (const id of change.type === 'reborn' ? change.ids : []) {
 				channels.closeStaleConnections(id);
 			}
@@ -63,7 +63,7 @@
 		const dispatcher = Dispatcher.create({
 			incarnation,
 			zone: settings.availabilityZone as ZoneName,
-			routingState: beliefs,
+			routingState,
 			logger: forPart(logger, 'Dispatch'),
 			allowance: allowanceOf(settings),
 			random: Math.random,
@@ -73,9 +73,9 @@
 			},
 		});
 		const kept = PromptCacheReader.create({
-			instance: settings.instance, routingState: beliefs, logger: forPart(logger, 'Kept'),
+			instance: settings.instance, routingState, logger: forPart(logger, 'Kept'),
 			instances: () => peers.instanceNames,
-			read: async address => adapter.readKeptParts(address),
+			read: async address => adapter.readCachedParts(address),
 			onRead(list) {
 				dispatcher.applyLoad({type: 'kept', ...list});
 				peers.broadcastPromptCache(list);
@@ -83,10 +83,10 @@
 		});
 		/** Peers may come before the feeds are followed: nothing was read until then. */
 		const followed: {feeds?: FeedFollowers} = {};
-		const peers = await openPeers(settings, {incarnation, beliefs, dispatcher, kept, logger, feeds: () => followed.feeds});
+		const peers = await openPeers(settings, {incarnation, routingState, dispatcher, kept, logger, feeds: () => followed.feeds});
 		const eras = metrics.counter('gateway_store_eras_total', 'How often a feed was read anew since the store came back from a copy.', ['feed']);
 		const feeds = followFeeds(store, {
-			routingState: beliefs, peers, drainMilliseconds: settings.drainMilliseconds, applyMilliseconds: settings.applyMilliseconds, logger: forPart(logger, 'Store'), random: Math.random,
+			routingState, peers, drainMilliseconds: settings.drainMilliseconds, applyMilliseconds: settings.applyMilliseconds, logger: forPart(logger, 'Store'), random: Math.random,
 			onEra({feed}) {
 				eras.add(1, {feed});
 			},
@@ -96,17 +96,17 @@
 		const gateway = await Gateway.create({
 			...splitAddress(settings.callerAddress),
 			maxBufferedBodyBytes: settings.memoryMegabytes * 1024 * 1024 * bodiesShare,
-			routingState: beliefs, dispatcher, connectionPools: channels, codec: adapter.codec, log: decisions, eventLoopMonitor: watch, logger: forPart(logger, 'Gateway'),
+			routingState, dispatcher, connectionPools: channels, codec: adapter.codec, log: decisions, eventLoopMonitor: watch, logger: forPart(logger, 'Gateway'),
 		});
 		metrics.observe('gateway_waiting', 'Requests that wait for a place.', () => dispatcher.queueLength);
 		metrics.observe('gateway_open', 'Requests without their whole answer.', () => gateway.openRequests);
 		metrics.observe('gateway_peers', 'Other gateways connected.', () => peers.count);
-		metrics.observe('gateway_table_version', 'The routing table in force.', () => beliefs.table?.version ?? 0);
+		metrics.observe('gateway_table_version', 'The routing table in force.', () => routingState.table?.version ?? 0);
 		const admin = await AdminServer.create({...splitAddress(settings.adminAddress), metrics, readyPath: adapter.readyPath, isReady: () => gateway.isReady});
 		const prune = setInterval(() => {
-			beliefs.prune(performance.now());
+			routingState.prune(performance.now());
 			dispatcher.loadTracker.prune(performance.now());
-			channels.retain(new Set(beliefs.directory.entries.keys()));
+			channels.retain(new Set(routingState.directory.entries.keys()));
 		}, pruneMilliseconds);
 		const timers = {
 			[Symbol.dispose]() {
@@ -114,7 +114,7 @@
 			},
 		};
 		return new GatewayProcess({
-			settings, log: forPart(logger, 'Gateway'), store, beliefs, peers, dispatcher, gateway, admin,
+			settings, log: forPart(logger, 'Gateway'), store, routingState, peers, dispatcher, gateway, admin,
 			releases: [timers, admin, gateway, feeds, kept, peers, dispatcher, decisions, watch, channels, store],
 		});
 	}
@@ -136,8 +136,8 @@
 		return this.#parts.gateway;
 	}
 
-	get beliefs(): RoutingState {
-		return this.#parts.beliefs;
+	get routingState(): RoutingState {
+		return this.#parts.routingState;
 	}
 
 	get peers(): Peers {
@@ -196,9 +196,9 @@
 	}
 }
 
-type PeerParts = {readonly incarnation: string; readonly beliefs: RoutingState; readonly dispatcher: Dispatcher; readonly kept: PromptCacheReader; readonly logger: Logger; readonly feeds: () => FeedFollowers | undefined};
+type PeerParts = {readonly incarnation: string; readonly routingState: RoutingState; readonly dispatcher: Dispatcher; readonly kept: PromptCacheReader; readonly logger: Logger; readonly feeds: () => FeedFollowers | undefined};
 
-async function openPeers(settings: GatewaySettings, {incarnation, beliefs, dispatcher, kept, logger, feeds}: PeerParts): Promise<Peers> {
+async function openPeers(settings: GatewaySettings, {incarnation, routingState: beliefs, dispatcher, kept, logger, feeds}: PeerParts): Promise<Peers> {
 	const {host, port} = splitAddress(settings.peerAddress);
 	return Peers.create({
 		instance: settings.instance,
--- a/src/endpoint/open-call.ts
+++ b/src/endpoint/open-call.ts
@@ -41,7 +41,7 @@
 		// The listener stays: an error after the answer began is reported by the response, and must not be thrown here.
 		sent.on('error', error => {
 			clearTimeout(timer);
-			resolve({type: 'failed', failure: lostCall(error, connection.stood, settings.signal)});
+			resolve({type: 'failed', failure: lostCall(error, connection.isEstablished, settings.signal)});
 		});
 		sent.once('response', response => {
 			clearTimeout(timer);
--- a/src/entry/fleet.ts
+++ b/src/entry/fleet.ts
@@ -59,7 +59,7 @@
 			this.observe({type: 'tick'});
 		}, tickMilliseconds);
 		this.#timers = [heartbeat, tick];
-		options.quarantine?.listen((records, from) => {
+		options.quarantine?.addListener((records, from) => {
 			if (from === 'process') {
 				this.#broadcast({type: 'quarantine', records: [...records]});
 			}
@@ -140,7 +140,7 @@
 	}
 
 	quarantineHeard(records: readonly QuarantineRecord[]): void {
-		this.#options.quarantine?.hear(records);
+		this.#options.quarantine?.receiveRecords(records);
 	}
 
 	peerMessage(link: SideLink, message: CatalogueMessage): void {
--- a/src/entry/slot-finder.ts
+++ b/src/entry/slot-finder.ts
@@ -149,7 +149,7 @@
 	}
 
 	#suspicion(): Suspicion {
-		return this.#options.quarantine?.judge(this.#options.summary.fingerprint).suspicion ?? Suspicion.none;
+		return this.#options.quarantine?.evaluate(this.#options.summary.fingerprint).suspicion ?? Suspicion.none;
 	}
 
 	#sideForSuspect(): readonly EndpointId[] {
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -37,7 +37,7 @@
 
 	readonly #options: AttemptOptions;
 	readonly #request: ClientRequest;
-	readonly #connection: {readonly stood: boolean};
+	readonly #connection: {readonly isEstablished: boolean};
 	#response: IncomingMessage | undefined;
 	#isFinished = false;
 	#isReset = false;
@@ -72,7 +72,7 @@
 
 	/** True once the request may have reached the endpoint. */
 	get mayHaveReachedEndpoint(): boolean {
-		return this.#connection.stood;
+		return this.#connection.isEstablished;
 	}
 
 	/** Cancels the attempt; an endpoint drops the work when its connection closes. */
@@ -93,7 +93,7 @@
 
 	#startConnectTimeout(): void {
 		this.#connectTimer = setTimeout(() => {
-			if (!this.#connection.stood) {
+			if (!this.#connection.isEstablished) {
 				this.#request.destroy(new Error(`no connection within ${connectTimeoutMilliseconds} ms`));
 			}
 		}, connectTimeoutMilliseconds);
@@ -133,7 +133,7 @@
 
 	#fail(reason: string): void {
 		clearTimeout(this.#connectTimer);
-		this.#emit({type: 'broken', verdict: this.#connection.stood ? Verdict.mayHaveRun : Verdict.notRun, reason});
+		this.#emit({type: 'broken', verdict: this.#connection.isEstablished ? Verdict.mayHaveRun : Verdict.notRun, reason});
 		this.#isFinished = true;
 		this.#request.destroy();
 	}
--- a/src/gateway/decision-log.ts
+++ b/src/gateway/decision-log.ts
@@ -85,7 +85,7 @@
 		this.#write('Sent.', {
 			request: facts.id, route: route.name, version: table.version, rank: table.rank(route, service, workspace), endpoint: decision.record.id, unread: decision.prefillTokens,
 			fetched: decision.fetch?.tokens, from: decision.fetch?.from, least: decision.leastPrefillTokens, expected: Math.round(decision.expectedMilliseconds),
-			speed: Math.round(dispatcher.loadTracker.speed(decision.record.service).tokensPerMillisecond),
+			speed: Math.round(dispatcher.loadTracker.prefillSpeed(decision.record.service).tokensPerMillisecond),
 			candidates: decision.candidates, waited: Math.round(waitedMilliseconds), line: dispatcher.queueLength, ...outcome,
 			firstEvent: firstEventAt === undefined ? undefined : Math.round(firstEventAt - startedAt), pause: Math.round(pauseMilliseconds), milliseconds: Math.round(now - startedAt),
 		});
--- a/src/gateway/dispatcher.ts
+++ b/src/gateway/dispatcher.ts
@@ -138,7 +138,7 @@
 		}
 
 		const candidates = usable.map(({candidate}) => candidate);
-		const demand = {...request.demand, waitedMilliseconds: now - (request.deferredAt ?? now), elapsedMilliseconds: now - request.arrivedAt, isOutranked: this.#isOutranked(request, now)};
+		const demand = {...request.demand, deferredMilliseconds: now - (request.deferredAt ?? now), elapsedMilliseconds: now - request.arrivedAt, isOutranked: this.#isOutranked(request, now)};
 		const choice = choosePlace(this.loadTracker, demand, candidates, this.#placementContext(request.demand.service, now));
 		if (choice.type === 'wait') {
 			request.isDeferred = choice.isDeferral;
@@ -181,9 +181,9 @@
 		const now = performance.now();
 		const fleetScale = links === 0 ? 1 : (instances - 1) / links;
 		const probability = sendProbability({
-			contenders: this.loadTracker.peerQueues.ahead(service, urgency, now) * fleetScale / candidates,
+			contenders: this.loadTracker.peerQueues.countAhead(service, urgency, now) * fleetScale / candidates,
 			searchIntervalMilliseconds,
-			prefillMilliseconds: prefillMilliseconds(this.loadTracker.speed(service), prefillTokens),
+			prefillMilliseconds: prefillMilliseconds(this.loadTracker.prefillSpeed(service), prefillTokens),
 			propagationMilliseconds: propagationMilliseconds(links),
 		});
 		return demand.isLatencyCritical || this.#options.random() < probability;
--- a/src/gateway/placement-queue.ts
+++ b/src/gateway/placement-queue.ts
@@ -151,9 +151,9 @@
 		return expectedQueueMilliseconds(this.#queue.ahead(service, urgency), {
 			candidates,
 			instances: view().instances,
-			tokensPerMillisecond: loadTracker.speed(service).tokensPerMillisecond,
+			tokensPerMillisecond: loadTracker.prefillSpeed(service).tokensPerMillisecond,
 			prefillShare: this.#prefillShares.of(service),
-			startedWorkRate: this.#queue.startedWorkRate(service, now),
+			placedWorkRate: this.#queue.placedWorkRate(service, now),
 			serviceTimeMilliseconds: loadTracker.serviceTimeMilliseconds(service),
 		});
 	}
--- a/src/gateway/placement-request.ts
+++ b/src/gateway/placement-request.ts
@@ -33,7 +33,7 @@
 		isLatencyCritical: table.isLatencyCritical(route, service),
 		maxPauseMilliseconds: route.longestPauseMilliseconds,
 		strictestPauseMilliseconds: table.strictestPauseMilliseconds(service),
-		waitedMilliseconds: 0,
+		deferredMilliseconds: 0,
 		elapsedMilliseconds: 0,
 		isOutranked: false,
 	};
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -72,7 +72,7 @@
 export type FeedPage<Item> = {readonly items: readonly Item[]; readonly next: LogPosition};
 
 /** Result of reading changes. */
-export type FeedReading<Item>
+export type FeedReadResult<Item>
 	= | {readonly type: 'page'; readonly page: FeedPage<Item>}
 	/** The history from that position is no longer retained. */
 		| {readonly type: 'gone'}
@@ -87,7 +87,7 @@
 	/** The newest value of each key, and the position from which changes continue. */
 	readSnapshot(): Promise<FeedPage<Item>>;
 	/** Changes from a position on; waits for the first one until the time is over or `signal` aborts (a long poll). */
-	readChanges(from: LogPosition, waitMilliseconds: number, signal?: AbortSignal): Promise<FeedReading<Item>>;
+	readChanges(from: LogPosition, waitMilliseconds: number, signal?: AbortSignal): Promise<FeedReadResult<Item>>;
 	/** Calls the listener at the first response of any call that comes from a newer era. */
 	onEra(listener: (era: number) => void): void;
 };
--- a/src/operator/catalogue-commands.ts
+++ b/src/operator/catalogue-commands.ts
@@ -3,7 +3,7 @@
 import {
 	changeSchema, describeRejection, subjectOf, entryKey, type Catalogue, type Change, type Difference, type RecordVerdict,
 } from '../catalogue/index.js';
-import {type JudgedRecord} from '../platform/index.js';
+import {type AppliedRecord} from '../platform/index.js';
 import {statusAnswerSchema} from '../telemetry/index.js';
 import {
 	describeProblem, parseCatalogueFile, pathOfEntry, problemAt, type FileProblem, type ParsedFile,
@@ -112,7 +112,7 @@
 	return {exit: OperatorExit.ok, value: records.map(({record}) => record), text};
 }
 
-type ReadChange = {readonly record: JudgedRecord; readonly change: Change | undefined};
+type ReadChange = {readonly record: AppliedRecord; readonly change: Change | undefined};
 
 /** The newest changes, and what no reader understood; snapshots are no changes. */
 async function readChanges(context: OperatorContext, limit: number): Promise<readonly ReadChange[]> {
--- a/src/platform/catalogue-peer.ts
+++ b/src/platform/catalogue-peer.ts
@@ -6,7 +6,7 @@
  * and heartbeat carries the sender's offset; whoever sees a higher one than its own pulls from
  * there, so a change goes on spreading while the log is down.
  */
-export function exchangeCatalogue(follower: CatalogueFollower, message: CatalogueMessage, reply: (message: Message) => void): void {
+export function handleCatalogueMessage(follower: CatalogueFollower, message: CatalogueMessage, reply: (message: Message) => void): void {
 	switch (message.type) {
 		case 'hello':
 		case 'heartbeat': {
--- a/src/platform/catalogue-stream.ts
+++ b/src/platform/catalogue-stream.ts
@@ -39,10 +39,10 @@
 }
 
 /** A record of the stream and what became of it. */
-export type JudgedRecord = StreamRecord & {readonly verdict: RecordVerdict};
+export type AppliedRecord = StreamRecord & {readonly verdict: RecordVerdict};
 
 /** The whole stream as far as the log has it, folded. */
-export type FoldedStream = {readonly catalogue: Catalogue; readonly records: readonly JudgedRecord[]};
+export type FoldedStream = {readonly catalogue: Catalogue; readonly records: readonly AppliedRecord[]};
 
 /** Reads and folds the catalogue stream to its end, once; throws `PlatformError` while the log is down. */
 export function * readCatalogue(log: LogClient): Body<FoldedStream> {
@@ -51,7 +51,7 @@
 	};
 
 	let catalogue = Catalogue.empty();
-	const records: JudgedRecord[] = [];
+	const records: AppliedRecord[] = [];
 	for (;;) {
 		const page = (yield * read(catalogue.offset + 1))!;
 		if (page.type === 'gone') {
--- a/src/platform/connection-watch.ts
+++ b/src/platform/connection-watch.ts
@@ -6,16 +6,16 @@
  *
  * A kept connection stands already and gets no listener: one more with every call would pile up.
  */
-export function watchConnection(sent: ClientRequest): {readonly stood: boolean} {
-	const watch = {stood: false};
+export function watchConnection(sent: ClientRequest): {readonly isEstablished: boolean} {
+	const watch = {isEstablished: false};
 	sent.once('socket', socket => {
-		watch.stood = !socket.connecting;
-		if (watch.stood) {
+		watch.isEstablished = !socket.connecting;
+		if (watch.isEstablished) {
 			return;
 		}
 
 		socket.once('connect', () => {
-			watch.stood = true;
+			watch.isEstablished = true;
 		});
 	});
 	return watch;
--- a/src/platform/http-caller.ts
+++ b/src/platform/http-caller.ts
@@ -97,7 +97,7 @@
 		const connection = watchConnection(sent);
 		sent.on('error', (error: NodeJS.ErrnoException) => {
 			const reason = sent.reusedSocket && error.code === 'ECONNRESET' ? staleConnection : error.message;
-			reject(PlatformError.create(connection.stood ? {type: 'lost', reason} : {type: 'unreachable', reason}));
+			reject(PlatformError.create(connection.isEstablished ? {type: 'lost', reason} : {type: 'unreachable', reason}));
 		});
 		sent.once('response', response => {
 			readText(response).then(text => {
--- a/src/platform/index.ts
+++ b/src/platform/index.ts
@@ -9,8 +9,8 @@
 	CatalogueFollower, defaultFollowerTimes,
 	type AuditEntry, type FollowerOptions, type FollowerTimes, type RecordsAnswer,
 } from './catalogue-follower.js';
-export {readCatalogue, type FoldedStream, type JudgedRecord} from './catalogue-stream.js';
+export {readCatalogue, type FoldedStream, type AppliedRecord} from './catalogue-stream.js';
 export {HttpCaller} from './http-caller.js';
 export {QuarantineLedger, quarantineStream, type QuarantineLedgerSettings} from './quarantine-ledger.js';
-export {exchangeCatalogue, type CatalogueMessage} from './catalogue-peer.js';
+export {handleCatalogueMessage, type CatalogueMessage} from './catalogue-peer.js';
 export {watchConnection} from './connection-watch.js';
--- a/src/platform/quarantine-ledger.ts
+++ b/src/platform/quarantine-ledger.ts
@@ -52,7 +52,7 @@
 	}
 
 	/** What is held against a fingerprint now. */
-	judge(fingerprint: string): FingerprintStatus {
+	evaluate(fingerprint: string): FingerprintStatus {
 		return evaluateFingerprint(this.#state, fingerprint, this.#now());
 	}
 
@@ -68,11 +68,11 @@
 
 	/** Lets a quarantined fingerprint run again; false if nothing is held against it. */
 	release(fingerprint: string, operator: string): boolean {
-		if (this.judge(fingerprint).suspicion !== Suspicion.quarantined) {
+		if (this.evaluate(fingerprint).suspicion !== Suspicion.quarantined) {
 			return false;
 		}
 
-		this.note(createReleasedRecord(this.#state, fingerprint, operator, this.#now()));
+		this.addRecord(createReleasedRecord(this.#state, fingerprint, operator, this.#now()));
 		return true;
 	}
 
@@ -82,19 +82,19 @@
 	}
 
 	/** Adds a record of this process, passes it on, and writes it to the log. */
-	note(record: QuarantineRecord): void {
+	addRecord(record: QuarantineRecord): void {
 		if (this.#fold([record], 'process') > 0) {
 			tryDeliver(this.#outbox, record);
 		}
 	}
 
 	/** Takes records from a peer; those that were not known are passed on once. */
-	hear(records: readonly unknown[]): void {
+	receiveRecords(records: readonly unknown[]): void {
 		this.#fold(records, 'process');
 	}
 
 	/** Tells the listener of every record from now on. */
-	listen(listener: NewsListener): void {
+	addListener(listener: NewsListener): void {
 		this.#listeners.add(listener);
 	}
 
--- a/src/policy/dispatch/demand.ts
+++ b/src/policy/dispatch/demand.ts
@@ -19,7 +19,7 @@
 	/** The strictest pause limit among the routes of the service. */
 	readonly strictestPauseMilliseconds: number;
 	/** How long the request has deferred: the time since it first declined an available endpoint for a better one. */
-	readonly waitedMilliseconds: number;
+	readonly deferredMilliseconds: number;
 	/** Time since the request arrived. */
 	readonly elapsedMilliseconds: number;
 	/** True if a more urgent request waits for the service at another instance, so that this one yields. */
--- a/src/policy/dispatch/forecast.ts
+++ b/src/policy/dispatch/forecast.ts
@@ -29,7 +29,7 @@
 	/** Share of prompt tokens that engines have to prefill, since they are not cached. */
 	readonly prefillShare: number;
 	/** Work that this instance has recently placed, per millisecond. */
-	readonly startedWorkRate: number;
+	readonly placedWorkRate: number;
 	/** Service time of a request at a plain service. */
 	readonly serviceTimeMilliseconds: number;
 };
@@ -38,10 +38,10 @@
  * Expected time until the requests ahead are placed. Before any request had to wait, the instance's own rate reflects
  * demand, not capacity; the equal share is therefore the lower limit.
  */
-export function expectedQueueMilliseconds({count, work}: QueuedAhead, {candidates, instances, tokensPerMillisecond, prefillShare, startedWorkRate, serviceTimeMilliseconds}: Capacity): number {
+export function expectedQueueMilliseconds({count, work}: QueuedAhead, {candidates, instances, tokensPerMillisecond, prefillShare, placedWorkRate, serviceTimeMilliseconds}: Capacity): number {
 	if (candidates[0]?.isEngine === true) {
 		const equalShareRate = tokensPerMillisecond / prefillShare * candidates.length / instances;
-		return work / Math.max(equalShareRate, startedWorkRate);
+		return work / Math.max(equalShareRate, placedWorkRate);
 	}
 
 	const slots = candidates.reduce((sum, candidate) => sum + candidate.slots, 0);
--- a/src/policy/dispatch/load.ts
+++ b/src/policy/dispatch/load.ts
@@ -163,7 +163,7 @@
 		return this.#endpoints.get(endpoint)?.cache.unavailableTokens(parts) ?? tokensOf(parts);
 	}
 
-	speed(service: string): PrefillSpeed {
+	prefillSpeed(service: string): PrefillSpeed {
 		const held = this.#speeds.get(service) ?? createPrefillSpeed();
 		this.#speeds.set(service, held);
 		return held;
@@ -206,7 +206,7 @@
 		}
 
 		const state = this.#endpoint(run.endpoint);
-		const speed = this.speed(run.service);
+		const speed = this.prefillSpeed(run.service);
 		const ownPrefillMilliseconds = prefillMilliseconds(speed, run.prefillTokens);
 		if (state.pending.size === 0) {
 			state.prefillStartedAt = now;
@@ -232,7 +232,7 @@
 			return;
 		}
 
-		finishPrefill(state, run, {now, prefilledAt: now - this.speed(run.service).baseMilliseconds});
+		finishPrefill(state, run, {now, prefilledAt: now - this.prefillSpeed(run.service).baseMilliseconds});
 		state.cache.markPrefilled(run.parts);
 		state.span.prefilledTokens += run.prefillTokens;
 		state.span.prefilledRuns += 1;
@@ -242,7 +242,7 @@
 
 		const {startedAt, isFromIdle, prefilledTokens, isInvalid} = state.span;
 		if (!isInvalid) {
-			this.#speeds.set(run.service, learnPrefillSpeed(this.speed(run.service), {tokens: prefilledTokens, milliseconds: now - startedAt, isFromIdle}));
+			this.#speeds.set(run.service, learnPrefillSpeed(this.prefillSpeed(run.service), {tokens: prefilledTokens, milliseconds: now - startedAt, isFromIdle}));
 		}
 
 		state.span = createSpan(now, false);
@@ -271,7 +271,7 @@
 	 * wait.
 	 */
 	#backlogMilliseconds(state: EndpointState, now: number): number {
-		return state.pending.size === 0 ? 0 : Math.max(0, prefillMilliseconds(this.speed(state.service), state.pendingTokens) - (now - state.prefillStartedAt));
+		return state.pending.size === 0 ? 0 : Math.max(0, prefillMilliseconds(this.prefillSpeed(state.service), state.pendingTokens) - (now - state.prefillStartedAt));
 	}
 
 	#drop(isDropped: (run: TrackedRun) => boolean, now: number): void {
--- a/src/policy/dispatch/peer-queues.ts
+++ b/src/policy/dispatch/peer-queues.ts
@@ -74,7 +74,7 @@
 	}
 
 	/** Number of requests at other instances that would be tried before one of this urgency, or beside it. */
-	ahead(service: string, urgency: UrgencyPair, now: number): number {
+	countAhead(service: string, urgency: UrgencyPair, now: number): number {
 		let ahead = 0;
 		for (const {urgencies, receivedAt} of this.#reports.get(service)?.values() ?? []) {
 			for (const {count, ...other} of now - receivedAt < reportLifetimeMilliseconds ? urgencies : []) {
--- a/src/policy/dispatch/placement.ts
+++ b/src/policy/dispatch/placement.ts
@@ -80,7 +80,7 @@
 	}
 
 	const isWorthWaiting = !demand.isLatencyCritical && delayed !== undefined && available !== undefined
-		&& delayed.cost + delayed.estimate.waitMilliseconds + demand.waitedMilliseconds < available.cost;
+		&& delayed.cost + delayed.estimate.waitMilliseconds + demand.deferredMilliseconds < available.cost;
 	if (available === undefined || isWorthWaiting) {
 		return {type: 'wait', endpoint: delayed!.id, milliseconds: delayed!.estimate.waitMilliseconds, isDeferral: available !== undefined};
 	}
--- a/src/policy/dispatch/prefix-affinity.ts
+++ b/src/policy/dispatch/prefix-affinity.ts
@@ -42,12 +42,12 @@
 }
 
 /** Cost of an endpoint for not being preferred for the prompt's prefix; negative for one that is. */
-export function affinityCost({parts, waitedMilliseconds}: Demand, preferred: readonly string[], {id, prefillTokens}: {id: string; prefillTokens: number}): number {
+export function affinityCost({parts, deferredMilliseconds}: Demand, preferred: readonly string[], {id, prefillTokens}: {id: string; prefillTokens: number}): number {
 	const rank = preferred.indexOf(id);
 	if (rank !== -1) {
 		return -(preferenceMilliseconds[rank] ?? 0);
 	}
 
 	const unsharedTokens = parts.at(-1)?.tokens ?? 0;
-	return preferred.length === 0 || prefillTokens <= unsharedTokens ? 0 : Math.max(0, notPreferredMilliseconds - waitedMilliseconds);
+	return preferred.length === 0 || prefillTokens <= unsharedTokens ? 0 : Math.max(0, notPreferredMilliseconds - deferredMilliseconds);
 }
--- a/src/policy/dispatch/waiting-queue.ts
+++ b/src/policy/dispatch/waiting-queue.ts
@@ -91,7 +91,7 @@
 	}
 
 	/** Work of a service's requests that were placed recently, per millisecond. */
-	startedWorkRate(service: string, now: number): number {
+	placedWorkRate(service: string, now: number): number {
 		return this.#recentlyPlacedWork(service, now) / rateWindowMilliseconds;
 	}
 
--- a/src/side/crash-watch.ts
+++ b/src/side/crash-watch.ts
@@ -51,7 +51,7 @@
 		for (const milliseconds of looksMilliseconds) {
 			yield * sleep(milliseconds);
 			if (!(yield * wait(isHealthy()))) {
-				ledger.note(createCrashRecord(instance, endpoint, suspects, Date.now()));
+				ledger.addRecord(createCrashRecord(instance, endpoint, suspects, Date.now()));
 				this.#settings.endpointDied();
 				return;
 			}
--- a/src/side/side.ts
+++ b/src/side/side.ts
@@ -80,7 +80,7 @@
 				this.setEndpointUp(false);
 			},
 		});
-		options.quarantine?.ledger.listen((records, from) => {
+		options.quarantine?.ledger.addListener((records, from) => {
 			if (from === 'process') {
 				this.#broadcast({type: 'quarantine', records: [...records]});
 			}
@@ -175,7 +175,7 @@
 			}
 
 			case 'quarantine': {
-				this.#options.quarantine?.ledger.hear(message.records);
+				this.#options.quarantine?.ledger.receiveRecords(message.records);
 				break;
 			}
 
--- a/src/side/suspect-gate.ts
+++ b/src/side/suspect-gate.ts
@@ -33,7 +33,7 @@
 
 	/** Decides about a reservation that has come: into the queue, to wait for its turn, or refused. */
 	arrived(reservation: Reservation): void {
-		const judgement = this.#ledger.judge(reservation.summary.fingerprint);
+		const judgement = this.#ledger.evaluate(reservation.summary.fingerprint);
 		switch (judgement.suspicion) {
 			case Suspicion.none: {
 				this.#owner.admit(reservation);
@@ -66,7 +66,7 @@
 		const {judgement} = this.#current;
 		this.#current = undefined;
 		if (ranWhole) {
-			this.#ledger.note(createClearedRecord(reservation.summary.fingerprint, judgement, Date.now()));
+			this.#ledger.addRecord(createClearedRecord(reservation.summary.fingerprint, judgement, Date.now()));
 		}
 
 		this.review([]);
@@ -84,7 +84,7 @@
 	/** Judges again what has not begun, after news or when the gate is free. */
 	review(notBegun: readonly Reservation[]): void {
 		for (const reservation of notBegun) {
-			if (this.#ledger.judge(reservation.summary.fingerprint).suspicion === Suspicion.quarantined) {
+			if (this.#ledger.evaluate(reservation.summary.fingerprint).suspicion === Suspicion.quarantined) {
 				this.#owner.refuseQuarantined(reservation);
 			}
 		}
--- a/src/side/work.ts
+++ b/src/side/work.ts
@@ -71,7 +71,7 @@
 		if (quarantine) {
 			this.#gate = SuspectGate.create(quarantine.ledger, this);
 			this.#crashes = CrashWatch.create({...options, ...quarantine, running: () => this.#runningFingerprints(), endpointDied: endpointDown});
-			quarantine.ledger.listen(() => {
+			quarantine.ledger.addListener(() => {
 				this.#gate?.review(this.#notBegun());
 			});
 		}
--- a/test/adapter/adapter.test.ts
+++ b/test/adapter/adapter.test.ts
@@ -4,7 +4,7 @@
 import {type AddressInfo} from 'node:net';
 import fc from 'fast-check';
 import tap from 'tap';
-import {readKeptParts} from '../../platform/engine-client.js';
+import {readCachedParts} from '../../platform/engine-client.js';
 import {requestCodec} from '../../platform/request-codec.js';
 import {decodeDesiredState} from '../../platform/desired-state.js';
 import {decodeInstance, decodeServer, encodeInstance} from '../../platform/servers.js';
@@ -251,15 +251,15 @@
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
 	const address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
-	const parts = await readKeptParts(address);
+	const parts = await readCachedParts(address);
 	const read = requestCodec.readRequest({'request-id': 'r', 'prefix-hash': '5c1e07a2:800,91bd3f06:410'});
 	t.same(read.type === 'facts' && read.facts.parts, parts, 'the same ids as a request names');
 	for (const wrong of ['{', '{"held": 5}', '{"held": [["", 5]]}', '[]']) {
 		body = wrong;
-		await t.rejects(readKeptParts(address));
+		await t.rejects(readCachedParts(address));
 	}
 
 	server.close();
 	server.closeAllConnections();
-	await t.rejects(readKeptParts(address));
+	await t.rejects(readCachedParts(address));
 });
--- a/test/gateway/dispatcher.test.ts
+++ b/test/gateway/dispatcher.test.ts
@@ -30,7 +30,7 @@
 		id, workspace: 'w', service: 'models', urgency: {route: 1, workspace: undefined}, work: 2000, arrivedAt: now, inTimeUntil: now + 300, lastStartAt: now + 2000, excluded, isIdempotent: true,
 		demand: {
 			service: 'models', urgency: 1, urgencies: {most: 1, least: 2}, targetMilliseconds: 400, parts: [{id: 1, tokens: 2000}], isLatencyCritical: false,
-			maxPauseMilliseconds: 300, strictestPauseMilliseconds: 200, waitedMilliseconds: 0, elapsedMilliseconds: 0, isOutranked: false,
+			maxPauseMilliseconds: 300, strictestPauseMilliseconds: 200, deferredMilliseconds: 0, elapsedMilliseconds: 0, isOutranked: false,
 		},
 		onDecision(decision) {
 			decisions.push(decision);
--- a/test/gateway/engine-rank.test.ts
+++ b/test/gateway/engine-rank.test.ts
@@ -33,7 +33,7 @@
 	const tenants = [{name: 'studio-a', apiKeys: ['key-a'], priority: 1}, {name: 'studio-b', apiKeys: ['key-b'], priority: 0}];
 	world.store.put('keyed.op', 'config', desiredState(2, {routes, tenants}));
 	const gateway = await world.startGateway();
-	await eventually(() => gateway.beliefs.table?.version === 2);
+	await eventually(() => gateway.routingState.table?.version === 2);
 	const ticket = await rankOf(world, '/question/1', 'key-a');
 	const draft = await rankOf(world, '/draft/1', 'key-b');
 	t.ok(ticket < draft, `the ticket has rank ${ticket} at the engine, the draft ${draft}`);
@@ -45,10 +45,10 @@
 	const one = {name: 'studio-a', apiKeys: ['key-a'], priority: 1};
 	world.store.put('keyed.op', 'config', desiredState(2, {routes, tenants: [one]}));
 	const gateway = await world.startGateway();
-	await eventually(() => gateway.beliefs.table?.version === 2);
+	await eventually(() => gateway.routingState.table?.version === 2);
 	const draftBefore = await rankOf(world, '/draft/1', 'key-a');
 	world.store.put('keyed.op', 'config', desiredState(3, {routes, tenants: [one, {name: 'studio-b', apiKeys: ['key-b'], priority: 0}, {name: 'studio-c', apiKeys: ['key-c'], priority: 3}]}));
-	await eventually(() => gateway.beliefs.table?.version === 3);
+	await eventually(() => gateway.routingState.table?.version === 3);
 	const ticketAfter = await rankOf(world, '/question/1', 'key-a');
 	const draftAfter = await rankOf(world, '/draft/1', 'key-a');
 	t.ok(ticketAfter < draftBefore, `the ticket from after has rank ${ticketAfter}, the draft from before ${draftBefore}`);
--- a/test/gateway/path.test.ts
+++ b/test/gateway/path.test.ts
@@ -201,7 +201,7 @@
 	await using world = await World.create();
 	const gateway = await world.startGateway();
 	world.store.put('keyed.op', 'config', desiredState(5, {tenants: [{name: 'studio-b', apiKeys: ['key-b']}]}));
-	await eventually(() => gateway.beliefs.table?.version === 5);
+	await eventually(() => gateway.routingState.table?.version === 5);
 	t.equal(await world.statusOf({key: 'key-a'}), 401);
 	world.store.fault = () => 'reset';
 	await eventually(() => world.lines.some(line => String(line.msg).includes('Store lost')));
@@ -210,7 +210,7 @@
 	world.store.forget('keyed.op');
 	world.store.fault = () => undefined;
 	await eventually(() => world.lines.some(line => String(line.msg).includes('History is gone')));
-	t.equal(gateway.beliefs.table?.version, 5);
+	t.equal(gateway.routingState.table?.version, 5);
 	t.equal(await world.statusOf({key: 'key-a'}), 401);
 });
 
@@ -223,9 +223,9 @@
 	await eventually(() => first.peers.count === 1 && second.peers.count === 1, 30_000);
 	world.store.fault = () => 'refuse';
 	// What the store tells one gateway in a moment in which it serves only that one.
-	const {version, ...rest} = first.beliefs.tableInput!;
-	first.beliefs.applyTable({...rest, version: version + 1, workspaces: []}, 'store');
-	await eventually(() => second.beliefs.table?.version === version + 1);
+	const {version, ...rest} = first.routingState.tableInput!;
+	first.routingState.applyTable({...rest, version: version + 1, workspaces: []}, 'store');
+	await eventually(() => second.routingState.table?.version === version + 1);
 	t.equal(await world.statusOf({key: 'key-a'}, second), 401);
 });
 
@@ -291,11 +291,11 @@
 	const state = desiredState(2);
 	const routes = (state.routes as Array<Record<string, unknown>>).map(route => ({...route, timeoutMs: 20_000, gapAimMs: 5000}));
 	world.store.put('keyed.op', 'config', {...state, routes});
-	await eventually(() => world.gateways[0]!.beliefs.table?.version === 2);
+	await eventually(() => world.gateways[0]!.routingState.table?.version === 2);
 	const [first, second] = world.ofService('models');
 	world.store.put('keyed.servers', first!.id, first!.beat({born: 1000, seq: 40}));
 	world.store.put('keyed.servers', second!.id, second!.beat({born: 1000, seq: 40}));
-	await eventually(() => [...world.gateways[0]!.beliefs.directory.entries.values()].every(({record}) => record.bornAt === 1000));
+	await eventually(() => [...world.gateways[0]!.routingState.directory.entries.values()].every(({record}) => record.bornAt === 1000));
 	world.answerWith('models', ({id, headers}) => id === 'cut' && headers['last-event-id'] === undefined
 		? {type: 'events', count: 60, gapMilliseconds: 100}
 		: {type: 'events', count: 60});
@@ -312,7 +312,7 @@
 	t.equal(world.arrivals('cut'), 2, 'it went on, once');
 	t.ok(seen.isWhole);
 	t.equal(seen.body.match(/^id: /gmv)?.length, 60);
-	const entry = world.gateways[0]!.beliefs.directory.entries.get(dying.id)!;
+	const entry = world.gateways[0]!.routingState.directory.entries.get(dying.id)!;
 	t.equal(entry.record.bornAt, 2000);
 	t.equal(entry.endedAt, undefined, 'revision 1 of the younger goes before revision 40 of the older');
 	t.same(dying.abandoned, ['cut']);
@@ -330,13 +330,13 @@
 	await eventually(() => world.gateways.every(({gateway, peers}) => gateway.isReady && peers.count === 2));
 	world.store.fault = path => path === '/v1/log-read' ? 'silent' : undefined;
 	world.store.put('keyed.op', 'config', desiredState(2));
-	await eventually(() => world.gateways.every(({beliefs}) => beliefs.table?.version === 2));
+	await eventually(() => world.gateways.every(({routingState: beliefs}) => beliefs.table?.version === 2));
 	await new Promise(resolve => {
 		// Each of them has asked for the next one by now.
 		setTimeout(resolve, 300);
 	});
 	world.store.fault = () => undefined;
 	world.store.put('keyed.op', 'config', desiredState(3));
-	await eventually(() => world.gateways.every(({beliefs}) => beliefs.table?.version === 3), 7000);
-	t.ok(world.gateways.every(({beliefs}) => beliefs.table?.version === 3));
+	await eventually(() => world.gateways.every(({routingState: beliefs}) => beliefs.table?.version === 3), 7000);
+	t.ok(world.gateways.every(({routingState: beliefs}) => beliefs.table?.version === 3));
 });
--- a/test/gateway/store-copy.test.ts
+++ b/test/gateway/store-copy.test.ts
@@ -15,12 +15,12 @@
 	t.equal(await world.statusOf({key: 'key-b'}), 200);
 	const copy = world.store.copy();
 	world.store.put('keyed.op', 'config', desiredState(3, {tenants: tenants(true)}));
-	await eventually(() => gateway.beliefs.table?.version === 3);
+	await eventually(() => gateway.routingState.table?.version === 3);
 	world.store.comeBackFrom(copy);
 	world.store.put('keyed.op', 'config', desiredState(3, {tenants: tenants(true)}));
 	world.store.put('keyed.op', 'config', desiredState(4, {tenants: tenants(false)}));
 	world.store.put('keyed.op', 'other', {});
-	await eventually(() => gateway.beliefs.table?.version === 4);
+	await eventually(() => gateway.routingState.table?.version === 4);
 	t.equal(await world.statusOf({key: 'key-b'}), 401, 'a key that was taken away meanwhile');
 	await eventually(() => world.lines.some(({msg}) => msg === 'Store: The store came back from a copy.'));
 	const line = world.lines.find(({msg, feed}) => msg === 'Store: The store came back from a copy.' && feed === 'keyed.op');
@@ -44,15 +44,15 @@
 
 	const gateway = await world.startGateway();
 	t.equal(await world.statusOf(), 200);
-	const standing = (): EndpointStatus => endpointStatusOf(gateway.beliefs.directory.entries.get('late')!, performance.now());
+	const standing = (): EndpointStatus => endpointStatusOf(gateway.routingState.directory.entries.get('late')!, performance.now());
 	const empty = {...copy, topics: new Map([...copy.topics].map(([name, {first}]) => [name, name === 'keyed.servers' ? {records: [], first} : copy.topics.get(name)!]))};
 	world.store.comeBackFrom(empty);
 	await eventually(() => world.lines.some(({msg}) => msg === 'Beliefs: Endpoints of a newer era.' || msg === 'Store: The store came back from a copy.'));
-	await eventually(() => gateway.beliefs.directory.era === 2);
+	await eventually(() => gateway.routingState.directory.era === 2);
 	t.equal(standing(), EndpointStatus.ready);
 	t.equal(await world.statusOf(), 200, 'the only endpoint of the service is not in the copy');
 	world.store.put('keyed.servers', 'late', late.beat());
-	await eventually(() => gateway.beliefs.directory.unconfirmed(performance.now()).every(({record}) => record.id !== 'late'));
+	await eventually(() => gateway.routingState.directory.unconfirmed(performance.now()).every(({record}) => record.id !== 'late'));
 	t.equal(standing(), EndpointStatus.ready);
 	t.equal(await world.statusOf(), 200);
 });
@@ -79,8 +79,8 @@
 	path.faults.refusing = true;
 	path.cut();
 	world.store.comeBackFrom(copy);
-	await eventually(() => first.beliefs.directory.era === 2 && second.beliefs.directory.era === 2);
-	t.equal(second.beliefs.directory.unconfirmed(performance.now()).length, 0, 'the peer named all of them again');
+	await eventually(() => first.routingState.directory.era === 2 && second.routingState.directory.era === 2);
+	t.equal(second.routingState.directory.unconfirmed(performance.now()).length, 0, 'the peer named all of them again');
 	t.equal(await world.statusOf(undefined, second), 200);
 });
 
@@ -95,7 +95,7 @@
 			setTimeout(resolve, 1200);
 		});
 		t.equal(await world.statusOf(), 200);
-		t.equal(gateway.beliefs.directory.era, 1);
+		t.equal(gateway.routingState.directory.era, 1);
 	}
 
 	t.ok(world.lines.some(({msg}) => msg === 'Store: Store answered without a readable era.'));
@@ -103,6 +103,6 @@
 	t.notOk(world.lines.some(({msg}) => msg === 'Store: The store came back from a copy.'));
 	world.store.saysEra = String;
 	world.store.put('keyed.op', 'config', desiredState(9));
-	await eventually(() => gateway.beliefs.table?.version === 9);
+	await eventually(() => gateway.routingState.table?.version === 9);
 	t.pass('and the store is followed again');
 });
--- a/test/gateway/virtual-store.ts
+++ b/test/gateway/virtual-store.ts
@@ -1,4 +1,4 @@
-import {type Feed, type FeedReading, type StoreFeeds} from '../../src/gateway/index.js';
+import {type Feed, type FeedReadResult, type StoreFeeds} from '../../src/gateway/index.js';
 import {type LogPosition} from '../../src/model/index.js';
 import {PlatformError} from '../../src/platform/index.js';
 import {type RoutingTableInput} from '../../src/routing/index.js';
@@ -46,7 +46,7 @@
 	}
 
 	/** What of the versions stands from an offset on. */
-	pageOf(from: LogPosition): FeedReading<RoutingTableInput> {
+	pageOf(from: LogPosition): FeedReadResult<RoutingTableInput> {
 		return this.era > from.era
 			? {type: 'new-era', era: this.era}
 			: {type: 'page', page: {items: this.#versions.slice(from.offset).map(version => tableOf(version)), next: this.end}};
@@ -104,7 +104,7 @@
 		return {
 			name,
 			readSnapshot: async () => this.#call(() => ({items: [], next: {era: this.#store.era, offset: 0}})),
-			readChanges: async from => this.#call((): FeedReading<Item> => this.#store.era > from.era ? {type: 'new-era', era: this.#store.era} : {type: 'page', page: {items: [], next: from}}),
+			readChanges: async from => this.#call((): FeedReadResult<Item> => this.#store.era > from.era ? {type: 'new-era', era: this.#store.era} : {type: 'page', page: {items: [], next: from}}),
 			onEra: listener => {
 				this.#listeners.push(listener);
 			},
@@ -152,7 +152,7 @@
 		}
 	}
 
-	async #read({from, waitMilliseconds, signal}: {from: LogPosition; waitMilliseconds: number; signal: AbortSignal | undefined}): Promise<FeedReading<RoutingTableInput>> {
+	async #read({from, waitMilliseconds, signal}: {from: LogPosition; waitMilliseconds: number; signal: AbortSignal | undefined}): Promise<FeedReadResult<RoutingTableInput>> {
 		const store = this.#store;
 		if (store.failure !== undefined || this.#mutes < store.mutes || store.era > from.era || from.offset < store.end.offset || waitMilliseconds === 0) {
 			return this.#call(() => store.pageOf(from));
@@ -167,7 +167,7 @@
 				});
 			};
 
-			const giveUp = (result: FeedReading<RoutingTableInput>): void => {
+			const giveUp = (result: FeedReadResult<RoutingTableInput>): void => {
 				reading.forget();
 				resolve(result);
 			};
--- a/test/path/quarantine.test.ts
+++ b/test/path/quarantine.test.ts
@@ -33,7 +33,7 @@
 /** Resolves in the turn in which the last entry hears of a first crash; a poll could come after the second one. */
 async function firstCrashKnown(fleet: LocalFleet): Promise<void> {
 	await Promise.all(fleet.entries.map(({quarantine}) => new Promise<void>(resolve => {
-		quarantine.listen(() => {
+		quarantine.addListener(() => {
 			resolve();
 		});
 	})));
@@ -85,5 +85,5 @@
 	const [entry] = fleet.entries;
 	const suspects = [...entry!.quarantine.state.crashes.values()].flatMap(({fingerprints}) => fingerprints);
 	t.ok(suspects.length > 0);
-	await until(() => suspects.every(fingerprint => entry!.quarantine.judge(fingerprint).suspicion === Suspicion.none));
+	await until(() => suspects.every(fingerprint => entry!.quarantine.evaluate(fingerprint).suspicion === Suspicion.none));
 });
--- a/test/platform/quarantine-ledger.test.ts
+++ b/test/platform/quarantine-ledger.test.ts
@@ -23,26 +23,26 @@
 	const passedOn: string[] = [];
 	await using far = QuarantineLedger.create({log: client});
 	await using near = QuarantineLedger.create({log: client});
-	near.listen((_records, from) => {
+	near.addListener((_records, from) => {
 		passedOn.push(`near ${from}`);
 	});
 	await using first = QuarantineLedger.create({log: client});
-	first.listen(records => {
+	first.addListener(records => {
 		passedOn.push('first');
-		near.hear(records);
-		near.hear(records);
+		near.receiveRecords(records);
+		near.receiveRecords(records);
 	});
-	first.note(crash('side-1'));
-	first.note(crash('side-2'));
-	t.equal(near.judge('poison').suspicion, Suspicion.quarantined);
+	first.addRecord(crash('side-1'));
+	first.addRecord(crash('side-2'));
+	t.equal(near.evaluate('poison').suspicion, Suspicion.quarantined);
 	t.same(passedOn, ['first', 'near process', 'first', 'near process']);
-	t.equal(far.judge('poison').suspicion, Suspicion.none);
+	t.equal(far.evaluate('poison').suspicion, Suspicion.none);
 	await log.start();
-	await until(() => far.judge('poison').suspicion === Suspicion.quarantined);
-	t.equal(far.judge('poison').suspicion, Suspicion.quarantined);
-	near.note(createReleasedRecord(near.state, 'poison', 'operator', Date.now()));
-	await until(() => far.judge('poison').suspicion === Suspicion.none);
-	t.equal(far.judge('poison').suspicion, Suspicion.none);
-	far.hear(['not a record']);
+	await until(() => far.evaluate('poison').suspicion === Suspicion.quarantined);
+	t.equal(far.evaluate('poison').suspicion, Suspicion.quarantined);
+	near.addRecord(createReleasedRecord(near.state, 'poison', 'operator', Date.now()));
+	await until(() => far.evaluate('poison').suspicion === Suspicion.none);
+	t.equal(far.evaluate('poison').suspicion, Suspicion.none);
+	far.receiveRecords(['not a record']);
 	t.equal(far.records().length, 3);
 });
--- a/test/policy/dispatch.test.ts
+++ b/test/policy/dispatch.test.ts
@@ -19,7 +19,7 @@
 function demand(more: Partial<Demand> = {}): Demand {
 	return {
 		service: 'models', urgency: 2, urgencies: {most: 1, least: 2}, targetMilliseconds: 600, parts: [], isLatencyCritical: false, maxPauseMilliseconds: 500, strictestPauseMilliseconds: 120,
-		waitedMilliseconds: 0, elapsedMilliseconds: 0, isOutranked: false, ...more,
+		deferredMilliseconds: 0, elapsedMilliseconds: 0, isOutranked: false, ...more,
 	};
 }
 
@@ -162,7 +162,7 @@
 		tracker.step({type: 'ended', id: `a/${round}-1`}, at + whole + 100);
 	}
 
-	const {tokensPerMillisecond} = tracker.speed('models');
+	const {tokensPerMillisecond} = tracker.prefillSpeed('models');
 	t.ok(tokensPerMillisecond > rate * 0.85 && tokensPerMillisecond < rate * 1.15, `${tokensPerMillisecond} tokens a millisecond`);
 });
 
@@ -189,9 +189,9 @@
 	}
 
 	tracker.step({type: 'placed', run: {id: 'behind', owner: 'b', endpoint: holder, service: 'models', prefillTokens: 20_000, isLatencyCritical: false, parts: []}}, 4000);
-	const wanted = demand({parts: prompt(1, 1), waitedMilliseconds: 400, elapsedMilliseconds: 400, targetMilliseconds: 1200});
+	const wanted = demand({parts: prompt(1, 1), deferredMilliseconds: 400, elapsedMilliseconds: 400, targetMilliseconds: 1200});
 	t.match(choosePlace(tracker, wanted, all, {zone, now: 4000, propagationMilliseconds, view, tuning: defaultTuning}), {type: 'wait', endpoint: holder});
-	t.match(choosePlace(tracker, {...wanted, waitedMilliseconds: 900, elapsedMilliseconds: 900}, all, {
+	t.match(choosePlace(tracker, {...wanted, deferredMilliseconds: 900, elapsedMilliseconds: 900}, all, {
 		zone, now: 20_000, propagationMilliseconds, view, tuning: defaultTuning,
 	}), {type: 'place'}, 'after an idle period no request waits that long');
 });
@@ -330,14 +330,14 @@
 
 tap.test('the rate of placed work decays with time', async t => {
 	const queue = WaitingQueue.create();
-	t.equal(queue.startedWorkRate('s', 0), 0);
+	t.equal(queue.placedWorkRate('s', 0), 0);
 	for (let now = 0; now < 5000; now += 10) {
 		queue.charge(queuedRequest('x', {work: 500}), now);
 	}
 
-	const rate = queue.startedWorkRate('s', 5000);
+	const rate = queue.placedWorkRate('s', 5000);
 	t.ok(rate > 40 && rate < 60, `${rate} a millisecond of 50`);
-	t.ok(queue.startedWorkRate('s', 9000) < 2);
+	t.ok(queue.placedWorkRate('s', 9000) < 2);
 });
 
 // An endless burst of urgent requests: the least urgent one still has its turn.
@@ -386,7 +386,7 @@
 		tracker.step({type: 'placed', run: {id: `b/${index}`, owner: 'b', endpoint: all[0]!.id, service: 'models', prefillTokens: 0, isLatencyCritical: false, parts: []}}, 100);
 	}
 
-	const wanted = demand({parts: prompt(1, 2), targetMilliseconds: 100, waitedMilliseconds: 500});
+	const wanted = demand({parts: prompt(1, 2), targetMilliseconds: 100, deferredMilliseconds: 500});
 	const choice = choosePlace(tracker, wanted, all, withLinks);
 	t.match(choice, {type: 'place', prefillTokens: 2900, fetch: {from: all[0]!.id, tokens: 6300}});
 	const without = choosePlace(tracker, wanted, all, {...withLinks, fetchTokensPerMillisecond: undefined});
@@ -401,10 +401,10 @@
 	const all = candidates(3, 1);
 	const tracker = createTracker(all);
 	tracker.step({type: 'placed', run: {id: 'b/1', owner: 'b', endpoint: all[0]!.id, service: 'models', prefillTokens: 9200, isLatencyCritical: false, parts: prompt(1, 1)}}, 990);
-	const early = choosePlace(tracker, demand({parts: prompt(1, 2), waitedMilliseconds: 5000, targetMilliseconds: 50}), all, withLinks);
+	const early = choosePlace(tracker, demand({parts: prompt(1, 2), deferredMilliseconds: 5000, targetMilliseconds: 50}), all, withLinks);
 	t.notMatch(early, {fetch: {from: all[0]!.id}});
 	tracker.step({type: 'first-event', id: 'b/1'}, 1100);
-	const later = choosePlace(tracker, demand({parts: prompt(1, 2), waitedMilliseconds: 5000, targetMilliseconds: 50}), all, {...withLinks, now: 1100});
+	const later = choosePlace(tracker, demand({parts: prompt(1, 2), deferredMilliseconds: 5000, targetMilliseconds: 50}), all, {...withLinks, now: 1100});
 	t.match(later, {type: 'place', fetch: {from: all[0]!.id, tokens: 6300}});
 });
 
@@ -477,14 +477,14 @@
 	t.notOk(peerQueues.hasMoreUrgent('models', first, 200), 'not among equals');
 	t.notOk(peerQueues.hasMoreUrgent('orders', second, 200), 'not at another service');
 	t.same([
-		peerQueues.ahead('models', first, 200), peerQueues.ahead('models', second, 200), peerQueues.ahead('models', {route: 0, workspace: 1}, 200),
+		peerQueues.countAhead('models', first, 200), peerQueues.countAhead('models', second, 200), peerQueues.countAhead('models', {route: 0, workspace: 1}, 200),
 	], [3, 3, 0], 'equals count, the less urgent don\'t');
 	report(200, [{route: 2, workspace: 0}]);
 	t.notOk(peerQueues.hasMoreUrgent('models', first, 210), 'not for a less urgent route');
 	t.ok(peerQueues.hasMoreUrgent('models', second, 210));
 	report(220);
 	t.notOk(peerQueues.hasMoreUrgent('models', second, 600), 'an expired report');
-	t.equal(peerQueues.ahead('models', second, 600), 0);
+	t.equal(peerQueues.countAhead('models', second, 600), 0);
 	report(700);
 	report(800, []);
 	t.notOk(peerQueues.hasMoreUrgent('models', second, 810), 'nothing waits any more');
@@ -581,7 +581,7 @@
 		return choosePlace(tracker, demand({parts: [{id: 1, tokens: 2000}], strictestPauseMilliseconds: 200}), [engine!], {...late, now: 100}).type;
 	};
 
-	const {tokensPerMillisecond} = LoadTracker.create().speed('models');
+	const {tokensPerMillisecond} = LoadTracker.create().prefillSpeed('models');
 	t.equal(choiceWith(true, tokensPerMillisecond * 60), 'wait', '60 ms of prefill, and streams with a pause limit of 200 ms');
 	t.equal(choiceWith(true, tokensPerMillisecond * 20), 'place');
 	t.equal(choiceWith(false, tokensPerMillisecond * 60), 'place', 'no stream is delayed where none runs');
--- a/test/policy/partial-view.test.ts
+++ b/test/policy/partial-view.test.ts
@@ -11,7 +11,7 @@
 function criticalDemand(number: number): Demand {
 	return {
 		service: 'models', urgency: 0, urgencies: {most: 1, least: 2}, targetMilliseconds: 150, parts: [{id: 7, tokens: 170}, {id: 1_000_000 + number, tokens: 540}], isLatencyCritical: true,
-		maxPauseMilliseconds: 120, strictestPauseMilliseconds: 120, waitedMilliseconds: 0, elapsedMilliseconds: 0, isOutranked: false,
+		maxPauseMilliseconds: 120, strictestPauseMilliseconds: 120, deferredMilliseconds: 0, elapsedMilliseconds: 0, isOutranked: false,
 	};
 }
 
