--- a/src/entry/admission.ts
+++ b/src/entry/admission.ts
@@ -4,15 +4,18 @@
 	type ClassName, createFailure, FailureKind, type RequestId, RequestError, type RequestSummary, sha256, type TargetName, type WorkspaceName,
 } from '../model/index.js';
 
-/** Who calls, and under which class. */
+/** The workspace that sent a request, and the class of the request. */
 export type Caller = {readonly workspace: WorkspaceEntry; readonly classEntry: ClassEntry};
 
-/** Finds the workspace by the bearer key and the class by its name; throws `RequestError`. */
+/**
+ * Finds the workspace by its bearer key and the class by its name (the workspace's default class if there is none).
+ * Throws a `RequestError` if either is unknown.
+ */
 export function identifyCaller(catalogue: Catalogue, authorization: string | undefined, className: string | undefined): Caller {
 	const workspace = authenticate(catalogue, authorization);
 	const classEntry = catalogue.classOf(workspace.name, className);
 	if (classEntry === undefined) {
-		throw refusal(FailureKind.unknownClass, `The workspace has no class named ${className ?? workspace.defaultClass}.`);
+		throw createRefusal(FailureKind.unknownClass, `The workspace has no class named ${className ?? workspace.defaultClass}.`);
 	}
 
 	return {workspace, classEntry};
@@ -21,13 +24,13 @@
 function authenticate(catalogue: Catalogue, authorization: string | undefined): WorkspaceEntry {
 	const key = /^Bearer (?<key>\S{1,512})$/v.exec(authorization ?? '')?.groups?.key;
 	if (key === undefined) {
-		throw refusal(FailureKind.unauthorized, 'Send your key as "Authorization: Bearer KEY".');
+		throw createRefusal(FailureKind.unauthorized, 'Send your key as "Authorization: Bearer KEY".');
 	}
 
 	const digest = sha256(key);
 	const workspace = catalogue.findWorkspaceByKey(digest);
 	if (!workspace?.keySha256.some(stored => equalDigests(stored, digest))) {
-		throw refusal(FailureKind.unauthorized, 'This key is not known.');
+		throw createRefusal(FailureKind.unauthorized, 'The key is unknown.');
 	}
 
 	return workspace;
@@ -37,16 +40,16 @@
 	return first.length === second.length && timingSafeEqual(new TextEncoder().encode(first), new TextEncoder().encode(second));
 }
 
-/** Checks that the class may use a model or service and that the catalogue has it. */
+/** Checks that a model or service is in the catalogue and that the class may use it; throws a `RequestError` otherwise. */
 export function checkTarget(catalogue: Catalogue, caller: Caller, kind: 'model' | 'service', name: string): void {
 	const known = kind === 'model' ? catalogue.model(name) : catalogue.service(name);
 	const {targets} = caller.classEntry;
 	if (known === undefined || (targets.length > 0 && !targets.includes(name))) {
-		throw refusal(FailureKind.unknownModel, `The ${kind} ${name} does not exist or is not open to this class.`);
+		throw createRefusal(FailureKind.unknownModel, `The ${kind} ${name} does not exist or is not available to this class.`);
 	}
 }
 
-/** What queue, placement and limits will know of the request. */
+/** The description of a request that queues, placement and limits work with. */
 export function summarize(caller: Caller, details: {id: RequestId; target: string; idempotent: boolean; promptTokens: number; prefix: string; fingerprint: string}): RequestSummary {
 	const {workspace, classEntry} = caller;
 	return {
@@ -66,6 +69,6 @@
 	};
 }
 
-function refusal(kind: FailureKind, message: string): RequestError {
+function createRefusal(kind: FailureKind, message: string): RequestError {
 	return RequestError.create(createFailure(kind, message));
 }
--- a/src/entry/claims/claim-guard.ts
+++ b/src/entry/claims/claim-guard.ts
@@ -1,26 +1,26 @@
 import {wait, type Body} from '../../concurrency/index.js';
 import {createFailure, FailureKind, Verdict, type Failure} from '../../model/index.js';
 import {type CachedResponse} from '../../policy/claims/index.js';
-import {type ClaimManager, type ClaimOutcome, type ClaimRequest} from './keeper.js';
+import {type ClaimManager, type ClaimOutcome, type ClaimRequest} from './claim-manager.js';
 
-/** What the caller of a keyed request gets when it may not run. */
+/** Why a request must not run under its idempotency key, with the result for its caller. */
 export type ClaimStop
-	/** The key's request ran to its end, and this is its answer. */
-	= | {readonly type: 'answer'; readonly answer: CachedResponse}
+	/** The request that holds the key has finished; `response` is its cached response. */
+	= | {readonly type: 'answer'; readonly response: CachedResponse}
 		| {readonly type: 'failed'; readonly failure: Failure};
 
-/** How long the refusal of a request waits for its release: longer, and the caller is told *may have run*. */
-const releaseMilliseconds = 250;
+/** How long the refusal of a request waits for the release of its key; after that the caller gets the verdict *may have run*. */
+const releaseTimeoutMilliseconds = 250;
 
 /**
- * The claim of one keyed request, from its arrival to its end. It is made while the request waits in
- * queues; the body leaves only after `mayStart`.
+ * The claim of one request with an idempotency key, from its arrival to its end. It is made while the request
+ * waits in queues; the request body is sent only after `mayStart`.
  */
 export class ClaimGuard {
 	/** Claims at once; `onStop` is called if the claim fails. */
-	static create(keeper: ClaimManager, request: ClaimRequest, onStop: () => void): ClaimGuard {
-		const guard = new ClaimGuard(keeper);
-		guard.#outcome = keeper.claim(request).then(outcome => {
+	static create(manager: ClaimManager, request: ClaimRequest, onStop: () => void): ClaimGuard {
+		const guard = new ClaimGuard(manager);
+		guard.#outcome = manager.claim(request).then(outcome => {
 			guard.#stop = stopOf(outcome);
 			if (guard.#stop) {
 				onStop();
@@ -31,13 +31,13 @@
 		return guard;
 	}
 
-	readonly #keeper: ClaimManager;
+	readonly #manager: ClaimManager;
 	#outcome!: Promise<ClaimOutcome>;
 	#stop: ClaimStop | undefined;
 	#started = false;
 
-	private constructor(keeper: ClaimManager) {
-		this.#keeper = keeper;
+	private constructor(manager: ClaimManager) {
+		this.#manager = manager;
 	}
 
 	/** Set as soon as the claim has failed. */
@@ -45,14 +45,14 @@
 		return this.#stop;
 	}
 
-	/** Waits for the claim, and reads it again if that was long ago. `undefined`: the body may leave now. */
+	/** Waits for the claim and confirms that it is still valid. `undefined` if the request body may be sent now. */
 	* mayStart(): Body<ClaimStop | undefined> {
 		const outcome = yield * wait(this.#outcome);
 		if (outcome.type !== 'won') {
 			return this.#stop;
 		}
 
-		if (!(yield * wait(this.#keeper.confirm(outcome.claimId)))) {
+		if (!(yield * wait(this.#manager.confirm(outcome.claimId)))) {
 			return {type: 'failed', failure: createFailure(FailureKind.claimUnavailable, 'The claim of the key could not be confirmed.')};
 		}
 
@@ -61,46 +61,46 @@
 	}
 
 	/** The request ran to its end at an endpoint. */
-	* finished(endpoint: string, answer?: CachedResponse): Body<void> {
+	* finished(endpoint: string, response?: CachedResponse): Body<void> {
 		const outcome = yield * wait(this.#outcome);
 		if (outcome.type === 'won') {
-			this.#keeper.finish(outcome.claimId, {endpoint, ...(answer && {answer})});
+			this.#manager.finish(outcome.claimId, {endpoint, ...(response && {response})});
 		}
 	}
 
 	/**
-	 * The verdict that may be told. Failure: a request is refused as not run while its key is still
-	 * claimed. Symptom: its caller sends it again, as told, and hears that it may have run. Not run is
-	 * therefore said once the release is in the log; if that takes long, the release goes on without the caller.
+	 * Returns the verdict for the caller of a failed request. *Not run* is reported only once the release of the
+	 * key is in the log: with the key still claimed, the caller's retry would be refused as *may have run*. If
+	 * the release takes longer than `releaseTimeoutMilliseconds`, it continues in the background and the verdict is *may have run*.
 	 */
 	* failed(verdict: Verdict): Body<Verdict> {
 		if (verdict !== Verdict.notRun) {
 			return verdict;
 		}
 
-		const released = yield * wait(Promise.race([this.#release(), patience()]));
+		const released = yield * wait(Promise.race([this.#release(), releaseTimeout()]));
 		return released ? Verdict.notRun : Verdict.mayHaveRun;
 	}
 
-	/** The caller left before any body did. */
+	/** The caller left; releases the key unless the request body may have been sent. */
 	abandoned(): void {
 		if (!this.#started) {
 			void this.#release();
 		}
 	}
 
-	/** True if the key is free for another request, or never was this one's. */
+	/** True if the key was released, or was never held by this request. */
 	async #release(): Promise<boolean> {
 		const outcome = await this.#outcome;
-		return outcome.type !== 'won' || this.#keeper.release(outcome.claimId);
+		return outcome.type !== 'won' || this.#manager.release(outcome.claimId);
 	}
 }
 
-async function patience(): Promise<boolean> {
+async function releaseTimeout(): Promise<boolean> {
 	return new Promise(resolve => {
 		setTimeout(() => {
 			resolve(false);
-		}, releaseMilliseconds).unref();
+		}, releaseTimeoutMilliseconds).unref();
 	});
 }
 
@@ -115,8 +115,8 @@
 		}
 
 		case 'lost': {
-			if (outcome.answer && outcome.sameRequest) {
-				return {type: 'answer', answer: outcome.answer};
+			if (outcome.response && outcome.sameRequest) {
+				return {type: 'answer', response: outcome.response};
 			}
 
 			const reason = outcome.sameRequest ? `Request ${outcome.requestId} has this Idempotency-Key.` : 'This Idempotency-Key was used with another body.';
--- a/src/entry/claims/keeper.ts
+++ b/src/entry/claims/claim-manager.ts
@@ -6,7 +6,7 @@
 	claimPartitions, createResponseCache, findResponse, isInWindow, cacheResponse, createKeyExpiredFailure, parseClaimKey,
 	type ClaimKey, type Holder, type CachedResponse, type ResponseCache,
 } from '../../policy/claims/index.js';
-import {type Settlement} from './commands.js';
+import {type CommandResult} from './commands.js';
 import {ClaimPartition} from './partition.js';
 
 export type ClaimRequest = {
@@ -15,34 +15,34 @@
 	readonly key: string;
 	readonly fingerprint: string;
 	readonly requestId: RequestId;
-	/** How long the caller can wait for the log; the keeper's usual time if missing. */
+	/** How long the claim may wait for the log; the manager's `waitMilliseconds` by default. */
 	readonly waitMilliseconds?: number;
 };
 
 /** Whether the request may run under its key. */
 export type ClaimOutcome
 	= | {readonly type: 'won'; readonly claimId: string}
-	/** Another request has the key. `answer` is there if it finished and this instance still has it. */
+	/** Another request holds the key. `response` is set if that request finished and its response is in this instance's cache. */
 		| {
 			readonly type: 'lost'; readonly ownerInstance: string; readonly requestId: RequestId; readonly finished: boolean;
-			/** False if the key was used with another body. */
+			/** False if the key was used with a different request body. */
 			readonly sameRequest: boolean;
-			/** The endpoint whose side may still have the answer. */
+			/** The endpoint whose side may still have the response. */
 			readonly endpoint?: string;
-			readonly answer?: CachedResponse;
+			readonly response?: CachedResponse;
 		}
 		| {readonly type: 'refused'; readonly failure: Failure};
 
-export type ClaimKeeperSettings = {
+export type ClaimManagerSettings = {
 	readonly log: LogClient;
 	readonly instance: string;
-	/** How long a claim that was read counts as read; after a longer pause it is read again. */
+	/** How long a claim is valid after it was read from the log; after that, `confirm` reads it again. */
 	readonly leaseMilliseconds?: number;
 	/** How long a claim may wait for the log. */
 	readonly waitMilliseconds?: number;
 	/** Milliseconds since 1970. */
 	wallClock?(): number;
-	/** Milliseconds that never go back. */
+	/** Monotonic milliseconds. */
 	monotonicClock?(): number;
 };
 
@@ -50,25 +50,25 @@
 const defaultWaitMilliseconds = 2000;
 const retryAfterMilliseconds = 1000;
 
-type Clocks = {readAt: number; readAtWall: number};
-type Held = Clocks & {readonly key: ClaimKey};
-type Claimed = {readonly request: ClaimRequest; readonly key: ClaimKey; readonly claimId: string; readonly startedAt: Clocks};
+type ClockReadings = {readAt: number; readAtWall: number};
+type HeldClaim = ClockReadings & {readonly key: ClaimKey};
+type PendingClaim = {readonly request: ClaimRequest; readonly key: ClaimKey; readonly claimId: string; readonly startedAt: ClockReadings};
 
 /**
- * Claims keys for the requests of one entry. A request may run only after `claim` said *won* and
- * `confirm` said true right before its body leaves.
+ * Claims idempotency keys for the requests of one entry. A request may run only if `claim` returned `won` and
+ * `confirm` returned true immediately before its body is sent.
  */
 export class ClaimManager implements AsyncDisposable {
-	static create(settings: ClaimKeeperSettings): ClaimManager {
+	static create(settings: ClaimManagerSettings): ClaimManager {
 		return new ClaimManager(settings);
 	}
 
-	readonly #settings: Required<ClaimKeeperSettings>;
+	readonly #settings: Required<ClaimManagerSettings>;
 	readonly #partitions: readonly ClaimPartition[];
-	readonly #held = new Map<string, Held>();
-	#answers: ResponseCache = createResponseCache();
+	readonly #heldClaims = new Map<string, HeldClaim>();
+	#responses: ResponseCache = createResponseCache();
 
-	private constructor(settings: ClaimKeeperSettings) {
+	private constructor(settings: ClaimManagerSettings) {
 		this.#settings = {
 			leaseMilliseconds: defaultLeaseMilliseconds,
 			waitMilliseconds: defaultWaitMilliseconds,
@@ -81,7 +81,7 @@
 		}));
 	}
 
-	/** Appends and page reads so far. */
+	/** Numbers of appends and page reads so far. */
 	get counts(): {appends: number; reads: number} {
 		let appends = 0;
 		let reads = 0;
@@ -93,7 +93,7 @@
 		return {appends, reads};
 	}
 
-	/** Never rejects: a log that is down makes a refusal. */
+	/** Claims a key. Never rejects: if the log is unavailable, the outcome is `refused`. */
 	async claim(request: ClaimRequest): Promise<ClaimOutcome> {
 		const parsed = parseClaimKey(request.workspace, request.key);
 		if (parsed.type === 'refused') {
@@ -107,19 +107,19 @@
 
 		const claimId = uuidv7();
 		const startedAt = this.#clocks();
-		const settlement = await this.#submitClaim(request, key, claimId);
-		return this.#outcome({request, key, claimId, startedAt}, settlement);
+		const result = await this.#submitClaim(request, key, claimId);
+		return this.#outcome({request, key, claimId, startedAt}, result);
 	}
 
 	/**
-	 * True if the body may leave now. Failure: the process is paused between its claim and its body, for
-	 * longer than anyone knows, and wakes with a claim that has been forgotten with its key's window.
-	 * Symptom: the key runs a second time. After a pause longer than the lease the stream is read again;
-	 * nobody but this keeper releases the claim, so what the stream says holds until the body leaves.
+	 * True if the request body may be sent now. The process may have been paused for an unknown time since the
+	 * claim, in which the key's window can end and the claim expire; sending the body would then run the key a
+	 * second time. After a pause longer than the lease the stream is therefore read again. Only this manager
+	 * releases the claim, so the result is valid until the body is sent.
 	 */
 	async confirm(claimId: string): Promise<boolean> {
 		for (;;) {
-			const held = this.#held.get(claimId);
+			const held = this.#heldClaims.get(claimId);
 			if (!held || !isInWindow(held.key.time, this.#settings.wallClock())) {
 				return false;
 			}
@@ -128,27 +128,28 @@
 				return true;
 			}
 
-			const clocks = this.#clocks();
-			const settlement = await this.#submitConfirm(held.key);
-			if (settlement.type !== 'read' || settlement.holder?.claim !== claimId) {
+			const readings = this.#clocks();
+			const result = await this.#submitConfirm(held.key);
+			if (result.type !== 'read' || result.holder?.claim !== claimId) {
 				return false;
 			}
 
-			Object.assign(held, clocks);
+			Object.assign(held, readings);
 		}
 	}
 
 	/**
-	 * Frees the key. Only for a request that certainly did not run and never will. True once the log has
-	 * it; on false the caller is told *may have run*, and the release is written when the log is back.
+	 * Releases the key. Only for a request that certainly did not run and will not run. True once the release is
+	 * in the log. If false, the caller must get the verdict *may have run*; the release is appended when the log
+	 * is available again.
 	 */
 	async release(claimId: string): Promise<boolean> {
-		const held = this.#held.get(claimId);
+		const held = this.#heldClaims.get(claimId);
 		if (!held) {
 			return false;
 		}
 
-		this.#held.delete(claimId);
+		this.#heldClaims.delete(claimId);
 		const {key} = held;
 		const deadline = this.#deadline();
 		return new Promise(resolve => {
@@ -161,26 +162,29 @@
 		});
 	}
 
-	/** The request ran to its end. Keeps the answer for a caller that lost it; `endpoint` tells other entries who else has it. */
-	finish(claimId: string, ended: {answer?: CachedResponse; endpoint?: string} = {}): void {
-		const held = this.#held.get(claimId);
+	/**
+	 * The request ran to its end. Caches the response for a caller that did not receive it; `endpoint` is recorded,
+	 * so that other entries know which endpoint's side may have the response as well.
+	 */
+	finish(claimId: string, result: {response?: CachedResponse; endpoint?: string} = {}): void {
+		const held = this.#heldClaims.get(claimId);
 		if (!held) {
 			return;
 		}
 
-		this.#held.delete(claimId);
-		if (ended.answer) {
-			this.#answers = cacheResponse(this.#answers, claimId, ended.answer, this.#settings.monotonicClock());
+		this.#heldClaims.delete(claimId);
+		if (result.response) {
+			this.#responses = cacheResponse(this.#responses, claimId, result.response, this.#settings.monotonicClock());
 		}
 
 		const {key} = held;
-		const endpoint = ended.endpoint === undefined ? {} : {endpoint: ended.endpoint};
+		const endpoint = result.endpoint === undefined ? {} : {endpoint: result.endpoint};
 		this.#partition(key).submit({
 			type: 'finish', item: {type: 'finish', key: key.id, keyTime: key.time, claim: claimId, ...endpoint}, deadline: this.#deadline(),
 		});
 	}
 
-	/** Writes what is left, if the log allows it at once. */
+	/** Appends the remaining commands and the backlog, without waiting for a log that is unavailable. */
 	async [Symbol.asyncDispose](): Promise<void> {
 		await Promise.all(this.#partitions.map(partition => partition.close()));
 	}
@@ -193,17 +197,17 @@
 		return this.#settings.monotonicClock() + waitMilliseconds;
 	}
 
-	#clocks(): Clocks {
+	#clocks(): ClockReadings {
 		return {readAt: this.#settings.monotonicClock(), readAtWall: this.#settings.wallClock()};
 	}
 
-	/** Both clocks count: one of them may stand still while an instance is suspended. */
-	#isFresh({readAt, readAtWall}: Held): boolean {
+	/** Checks both clocks, since one of them may stop while an instance is suspended. */
+	#isFresh({readAt, readAtWall}: HeldClaim): boolean {
 		const {leaseMilliseconds, monotonicClock, wallClock} = this.#settings;
 		return monotonicClock() - readAt <= leaseMilliseconds && Math.abs(wallClock() - readAtWall) <= leaseMilliseconds;
 	}
 
-	async #submitClaim(request: ClaimRequest, key: ClaimKey, claimId: string): Promise<Settlement> {
+	async #submitClaim(request: ClaimRequest, key: ClaimKey, claimId: string): Promise<CommandResult> {
 		const {requestId, fingerprint} = request;
 		return new Promise(resolve => {
 			const submitted = this.#partition(key).submit({
@@ -216,7 +220,7 @@
 		});
 	}
 
-	async #submitConfirm(key: ClaimKey): Promise<Settlement> {
+	async #submitConfirm(key: ClaimKey): Promise<CommandResult> {
 		return new Promise(resolve => {
 			const submitted = this.#partition(key).submit({type: 'confirm', key, deadline: this.#deadline(), settle: resolve});
 			if (!submitted) {
@@ -225,40 +229,40 @@
 		});
 	}
 
-	#outcome(claim: Claimed, settlement: Settlement): ClaimOutcome {
-		switch (settlement.type) {
+	#outcome(claim: PendingClaim, result: CommandResult): ClaimOutcome {
+		switch (result.type) {
 			case 'not-kept': {
-				const message = `The key could not be claimed: ${settlement.reason}.`;
+				const message = `The key could not be claimed: ${result.reason}.`;
 				return {type: 'refused', failure: createFailure(FailureKind.claimUnavailable, message, {retryAfterMilliseconds})};
 			}
 
 			case 'in-doubt': {
-				const message = `It is not known whether the key was claimed: ${settlement.reason}.`;
+				const message = `It is unknown whether the key was claimed: ${result.reason}.`;
 				return {type: 'refused', failure: createFailure(FailureKind.claimUnavailable, message, {verdict: Verdict.mayHaveRun, retryAfterMilliseconds})};
 			}
 
 			case 'read': {
-				return this.#outcomeOfRead(claim, settlement.holder);
+				return this.#outcomeForHolder(claim, result.holder);
 			}
 		}
 	}
 
-	#outcomeOfRead({request, key, claimId, startedAt}: Claimed, holder: Holder | undefined): ClaimOutcome {
+	#outcomeForHolder({request, key, claimId, startedAt}: PendingClaim, holder: Holder | undefined): ClaimOutcome {
 		if (!holder) {
 			return {type: 'refused', failure: createKeyExpiredFailure()};
 		}
 
 		if (holder.claim === claimId) {
-			this.#held.set(claimId, {key, ...startedAt});
+			this.#heldClaims.set(claimId, {key, ...startedAt});
 			return {type: 'won', claimId};
 		}
 
-		const answer = findResponse(this.#answers, holder.claim, this.#settings.monotonicClock());
+		const response = findResponse(this.#responses, holder.claim, this.#settings.monotonicClock());
 		return {
 			type: 'lost', ownerInstance: holder.instance, requestId: holder.request as RequestId, finished: holder.finished,
 			sameRequest: holder.fingerprint === request.fingerprint,
 			...(holder.endpoint !== undefined && {endpoint: holder.endpoint}),
-			...(answer && {answer}),
+			...(response && {response}),
 		};
 	}
 }
--- a/src/entry/claims/partition.ts
+++ b/src/entry/claims/partition.ts
@@ -2,20 +2,21 @@
 import {channel, receive, receiveWithin, sleep, spawn, tryDeliver, tryReceive, wait, type Body, type Channel, type Selected} from '../../concurrency/index.js';
 import {type LogClient, type LogRecord} from '../../platform/types.js';
 import {createClaims, foldClaims, holderOf, skipToOffset, streamOfPartition, type ClaimBatch, type ClaimItem, type Claims} from '../../policy/claims/index.js';
-import {type Command, type Settlement} from './commands.js';
+import {type Command, type CommandResult} from './commands.js';
 
-/** Commands that wait while an append is on its way; more are refused as not run. */
+/** Commands that may wait during an append; further ones are refused as not run. */
 const inboxCapacity = 1000;
-/** Items of one record. */
-const largestBatch = 256;
-/** Releases and finishes kept for a log that is down; beyond, the oldest key stays held until its window ends. */
-const largestBacklog = 4096;
-/** Wait between two tries at a log that fails. */
+/** Limit of the backlog items, and of the commands, in one record. */
+const maxBatchItems = 256;
+/** Releases and finishes that wait for an unavailable log; beyond this the oldest is dropped, and its key stays held until its window ends. */
+const maxBacklogItems = 4096;
+/** Pause between two attempts to use a log that fails. */
 const retryMilliseconds = 50;
-const backlogMilliseconds = 500;
-const pageLimit = 500;
+/** How long a partition with a backlog waits for a command before it tries to append the backlog. */
+const backlogRetryMilliseconds = 500;
+const maxPageRecords = 500;
 
-type Kept
+type AppendResult
 	= | {readonly type: 'kept'; readonly offset: number}
 		| {readonly type: 'not-kept'; readonly reason: string}
 		| {readonly type: 'in-doubt'; readonly reason: string};
@@ -28,8 +29,8 @@
 };
 
 /**
- * One claims stream as this entry sees it: a process that puts all claims which arrived during one
- * append into the next, reads up to its own record, and only then says who won.
+ * One claims stream, as seen by this entry. Its process appends all claims that arrived during one append in
+ * the next record (group commit), reads the stream up to that record, and only then reports which claims won.
  */
 export class ClaimPartition {
 	static create(settings: PartitionSettings): ClaimPartition {
@@ -38,7 +39,7 @@
 		return partition;
 	}
 
-	/** Records appended and pages read, for the log's budget. */
+	/** Numbers of append and page read operations. */
 	readonly counts = {appends: 0, reads: 0};
 	readonly #settings: PartitionSettings;
 	readonly #stream: string;
@@ -52,43 +53,44 @@
 		this.#stream = streamOfPartition(settings.partition);
 	}
 
-	/** False if too much waits already, or the partition is closed: nothing was done. */
+	/** False if the inbox is full or the partition is closed; the command then has no effect. */
 	submit(command: Command): boolean {
 		return tryDeliver(this.#inbox, command);
 	}
 
+	/** Handles the commands that wait and stops; an unavailable log is not waited for. */
 	async close(): Promise<void> {
 		this.#inbox.close();
 		await this.#done;
 	}
 
 	* #run(): Body<void> {
-		// The stream's past is read before the first claim needs it; a log that is down is met again then.
+		// Reads the stream before the first claim needs it. If the log is unavailable, the first claim reads it.
 		yield * this.#readTo(-1, this.#settings.now());
 		for (;;) {
-			const next = yield * this.#next();
+			const next = yield * this.#nextCommand();
 			if (next.type === 'closed') {
 				yield * this.#handle([]);
 				return;
 			}
 
-			yield * this.#handle(next.type === 'value' ? this.#drain(next.value) : []);
+			yield * this.#handle(next.type === 'value' ? this.#takeBatch(next.value) : []);
 		}
 	}
 
-	/** The next command; with a backlog the wait is short, as the log may be back. */
-	* #next(): Body<Selected<Command>> {
+	/** Waits for the next command; with a backlog only briefly, since the log may be available again. */
+	* #nextCommand(): Body<Selected<Command>> {
 		if (this.#backlog.length > 0) {
-			return yield * receiveWithin(this.#inbox, backlogMilliseconds);
+			return yield * receiveWithin(this.#inbox, backlogRetryMilliseconds);
 		}
 
 		const value = yield * receive(this.#inbox);
 		return value === undefined ? {type: 'closed'} : {type: 'value', value};
 	}
 
-	#drain(first: Command): Command[] {
+	#takeBatch(first: Command): Command[] {
 		const commands = [first];
-		while (commands.length < largestBatch) {
+		while (commands.length < maxBatchItems) {
 			const more = tryReceive(this.#inbox);
 			if (!more) {
 				break;
@@ -101,23 +103,26 @@
 	}
 
 	* #handle(commands: readonly Command[]): Body<void> {
-		const live = commands.filter(command => this.#inTime(command));
-		const items = [...this.#backlog.splice(0, largestBatch), ...live.flatMap(command => command.type === 'confirm' ? [] : [command.item])];
+		const live = commands.filter(command => this.#checkDeadline(command));
+		const items = [...this.#backlog.splice(0, maxBatchItems), ...live.flatMap(command => command.type === 'confirm' ? [] : [command.item])];
 		const deadline = Math.max(...live.map(command => command.deadline), this.#settings.now() + retryMilliseconds);
-		const kept: Kept = items.length > 0 ? yield * this.#append(items, deadline) : {type: 'kept', offset: -1};
-		if (kept.type !== 'kept') {
-			this.#keepForLater(items);
+		const appended: AppendResult = items.length > 0 ? yield * this.#append(items, deadline) : {type: 'kept', offset: -1};
+		if (appended.type !== 'kept') {
+			this.#addToBacklog(items);
 		}
 
-		const asked = live.some(command => command.type === 'claim' || command.type === 'confirm');
-		const read = asked && kept.type !== 'not-kept' ? yield * this.#readTo(kept.type === 'kept' ? kept.offset : -1, deadline) : true;
+		const needsRead = live.some(command => command.type === 'claim' || command.type === 'confirm');
+		const isRead = needsRead && appended.type !== 'not-kept' ? yield * this.#readTo(appended.type === 'kept' ? appended.offset : -1, deadline) : true;
 		for (const command of live) {
-			this.#settle(command, kept, read);
+			this.#settle(command, appended, isRead);
 		}
 	}
 
-	/** A command whose time passed before it was taken up left no trace, so it certainly was not run. */
-	#inTime(command: Command): boolean {
+	/**
+	 * Rejects a command whose deadline passed before it was handled, and returns false; its request certainly did not
+	 * run, since nothing was appended. Releases and finishes never expire.
+	 */
+	#checkDeadline(command: Command): boolean {
 		if (command.type === 'finish' || command.type === 'release' || command.deadline > this.#settings.now()) {
 			return true;
 		}
@@ -126,63 +131,64 @@
 		return false;
 	}
 
-	/** Only what frees or completes keys is written later; a claim whose caller has been answered is not. */
-	#keepForLater(items: readonly ClaimItem[]): void {
-		this.#backlog = [...this.#backlog, ...items.filter(item => item.type !== 'claim')].slice(-largestBacklog);
+	/** Queues items to be appended later. Claims are dropped, since their callers have been refused already. */
+	#addToBacklog(items: readonly ClaimItem[]): void {
+		this.#backlog = [...this.#backlog, ...items.filter(item => item.type !== 'claim')].slice(-maxBacklogItems);
 	}
 
-	#settle(command: Command, kept: Kept, read: boolean): void {
+	#settle(command: Command, appended: AppendResult, isRead: boolean): void {
 		switch (command.type) {
 			case 'finish': {
 				return;
 			}
 
 			case 'release': {
-				command.settle(kept.type === 'kept');
+				command.settle(appended.type === 'kept');
 				return;
 			}
 
 			case 'confirm': {
-				command.settle(read && kept.type !== 'not-kept' ? this.#holder(command) : {type: 'in-doubt', reason: 'the log can not be read'});
+				command.settle(isRead && appended.type !== 'not-kept' ? this.#holder(command) : {type: 'in-doubt', reason: 'the log cannot be read'});
 				return;
 			}
 
 			case 'claim': {
-				this.#settleClaim(command, kept, read);
+				this.#settleClaim(command, appended, isRead);
 			}
 		}
 	}
 
-	#settleClaim(command: Command & {type: 'claim'}, kept: Kept, read: boolean): void {
-		if (kept.type === 'kept' && read) {
+	#settleClaim(command: Command & {type: 'claim'}, appended: AppendResult, isRead: boolean): void {
+		if (appended.type === 'kept' && isRead) {
 			command.settle(this.#holder(command));
 			return;
 		}
 
-		if (kept.type === 'not-kept') {
-			command.settle(kept);
+		if (appended.type === 'not-kept') {
+			command.settle(appended);
 			return;
 		}
 
-		// Failure: the claim may be kept although its caller has been told to give up. Symptom: the key
-		// stays held by a claim that never runs. The release voids the claim, whichever comes first.
+		// The claim may be in the log although its caller is refused, and the key would stay held by a claim
+		// that never runs. The release voids the claim, in whichever order the two are appended.
 		const {key, keyTime, claim} = command.item;
-		this.#keepForLater([{type: 'release', key, keyTime, claim}]);
-		command.settle({type: 'in-doubt', reason: kept.type === 'in-doubt' ? kept.reason : 'the log can not be read'});
+		this.#addToBacklog([{type: 'release', key, keyTime, claim}]);
+		command.settle({type: 'in-doubt', reason: appended.type === 'in-doubt' ? appended.reason : 'the log cannot be read'});
 	}
 
-	#holder({key}: {key: {id: string; time: number}}): Settlement {
+	#holder({key}: {key: {id: string; time: number}}): CommandResult {
 		return {type: 'read', holder: holderOf(this.#claims, key)};
 	}
 
 	/**
-	 * Failure: the answer to an append is lost, or the log is down. Symptom: a claim that is in the log
-	 * and counts as refused, or the reverse. The same record is appended again, which the fold allows,
-	 * and the stream is searched for either copy, until one is certain.
+	 * Appends items as one record. If the response to an append is lost or the log is unavailable, it is unknown
+	 * whether the record is in the log, and a claim in the log could be treated as refused, or the reverse. The same
+	 * record is therefore appended again, which the fold tolerates, and the stream is searched for either copy,
+	 * until one is found or the deadline passes.
 	 */
-	* #append(items: readonly ClaimItem[], deadline: number): Body<Kept> {
+	* #append(items: readonly ClaimItem[], deadline: number): Body<AppendResult> {
 		const batch: ClaimBatch = {batch: uuidv7(), instance: this.#settings.instance, items: [...items]};
-		let doubt = '';
+		let failureReason = '';
 		for (;;) {
 			const from = this.#claims.next;
 			this.counts.appends += 1;
@@ -191,26 +197,26 @@
 				return {type: 'kept', offset: result.offset};
 			}
 
-			if (result.type === 'refused' && doubt === '') {
+			if (result.type === 'refused' && failureReason === '') {
 				return {type: 'not-kept', reason: result.reason};
 			}
 
-			doubt = result.reason;
-			const found = yield * this.#find(batch.batch, from, deadline);
+			failureReason = result.reason;
+			const found = yield * this.#findBatch(batch.batch, from, deadline);
 			if (found !== undefined) {
 				return {type: 'kept', offset: found};
 			}
 
 			if (this.#settings.now() >= deadline) {
-				return {type: 'in-doubt', reason: doubt};
+				return {type: 'in-doubt', reason: failureReason};
 			}
 
 			yield * sleep(retryMilliseconds);
 		}
 	}
 
-	/** Reads to the end of the stream; the offset of the batch if it is there. */
-	* #find(batch: string, from: number, deadline: number): Body<number | undefined> {
+	/** Reads to the end of the stream; returns the offset of the batch if it was found. */
+	* #findBatch(batch: string, from: number, deadline: number): Body<number | undefined> {
 		let found: number | undefined;
 		yield * this.#readTo(-1, deadline, records => {
 			found ??= records.find(({offset, value}) => offset >= from && (value as Partial<ClaimBatch> | undefined)?.batch === batch)?.offset;
@@ -218,13 +224,13 @@
 		return found;
 	}
 
-	/** Folds the stream up to an offset, or to its end if that is -1. False if the log can't be read in time. */
-	* #readTo(offset: number, deadline: number, see: (records: readonly LogRecord[]) => void = () => undefined): Body<boolean> {
+	/** Folds the stream up to an offset, or to its end if that is -1. False if the log cannot be read before the deadline. */
+	* #readTo(offset: number, deadline: number, onRecords: (records: readonly LogRecord[]) => void = () => undefined): Body<boolean> {
 		let end = offset === -1 ? undefined : offset + 1;
 		while (end === undefined || this.#claims.next < end) {
 			const page = yield * this.#readPage();
 			if (page) {
-				see(page.records);
+				onRecords(page.records);
 				end ??= page.next;
 			} else if (this.#settings.now() >= deadline) {
 				return false;
@@ -239,7 +245,7 @@
 	* #readPage(): Body<{records: readonly LogRecord[]; next: number} | undefined> {
 		this.counts.reads += 1;
 		try {
-			const page = yield * wait(this.#settings.log.read(this.#stream, this.#claims.next, {limit: pageLimit}));
+			const page = yield * wait(this.#settings.log.read(this.#stream, this.#claims.next, {limit: maxPageRecords}));
 			if (page.type === 'gone') {
 				this.#claims = skipToOffset(this.#claims, page.first);
 				return {records: [], next: page.next};
--- a/src/entry/entry-telemetry.ts
+++ b/src/entry/entry-telemetry.ts
@@ -5,7 +5,7 @@
 } from '../telemetry/index.js';
 import {type CallEnd} from './model-call.js';
 
-/** What an entry tells of its requests: a reason for each decision, and figures per tier. */
+/** Telemetry of an entry's requests: a journal record with the reason of each decision, and metrics per tier. */
 export class EntryTelemetry {
 	static create(metrics: Metrics, journal: DecisionJournal): EntryTelemetry {
 		return new EntryTelemetry(metrics, journal);
@@ -15,14 +15,14 @@
 	readonly #ended: Counter;
 	readonly #tokens: Counter;
 	readonly #retries: Counter;
-	readonly #attained: Counter;
+	readonly #inTime: Counter;
 	readonly #firstToken: Latency;
 	readonly #active: Gauge;
 
 	private constructor(metrics: Metrics, journal: DecisionJournal) {
 		this.journal = journal;
 		this.#ended = metrics.counter('requests_total', 'Requests that ended, by tier, outcome and reason.', ['tier', 'outcome', 'reason']);
-		this.#attained = metrics.counter('requests_in_time_total', 'Whole answers whose first token met the class target, by tier.', ['tier']);
+		this.#inTime = metrics.counter('requests_in_time_total', 'Whole answers whose first token met the class target, by tier.', ['tier']);
 		this.#tokens = metrics.counter('tokens_total', 'Tokens passed to callers, by tier.', ['tier']);
 		this.#retries = metrics.counter('retries_total', 'Attempts after the first, by reason.', ['reason']);
 		this.#firstToken = metrics.latency('first_token', 'From arrival to the first token, by tier.');
@@ -42,19 +42,19 @@
 		this.record(summary.id, ReasonCode.classified, {workspace, class: className, tier, target, firstTokenMilliseconds, queueMilliseconds});
 	}
 
-	/** Which sides were looked at, in what order, and why. */
+	/** Records the endpoints that placement considered, their order and the reasons. */
 	ranked(summary: RequestSummary, choice: Choice): void {
 		const looked = choice.reasons.map(({endpoint, reason}) => `${endpoint}: ${reason}`).join('; ');
 		this.record(summary.id, ReasonCode.ranked, {chosen: choice.endpoints.join(', '), looked});
 	}
 
-	/** An attempt failed and another follows. */
+	/** Records a failed attempt that is retried. */
 	retried(summary: RequestSummary, {kind, message, verdict}: Failure): void {
 		this.#retries.add(1, {reason: kind});
 		this.record(summary.id, ReasonCode.retried, {reason: kind, message, verdict});
 	}
 
-	/** A request that failed before, or without, a model call. */
+	/** Records a request that failed before or without a model call. */
 	refused(request: RequestId, {kind, message, verdict}: Failure): void {
 		this.#ended.add(1, {tier: 'none', outcome: 'failed', reason: kind});
 		this.record(request, ReasonCode.failed, {reason: kind, message, verdict});
@@ -65,21 +65,21 @@
 		this.#ended.add(1, {tier, outcome: end.type, reason: end.type === 'failed' ? end.failure.kind : 'none'});
 		this.#tokens.add(end.tokens, {tier});
 		if (end.type === 'whole') {
-			this.#countWhole(summary, tier, end.firstTokenMilliseconds);
+			this.#recordComplete(summary, tier, end.firstTokenMilliseconds);
 		}
 
-		this.record(summary.id, codeOf(end), detailOf(end));
+		this.record(summary.id, reasonCodeOf(end), detailOf(end));
 	}
 
-	#countWhole(summary: RequestSummary, tier: string, milliseconds = 0): void {
+	#recordComplete(summary: RequestSummary, tier: string, milliseconds = 0): void {
 		this.#firstToken.for({tier}).record(milliseconds);
 		if (milliseconds <= summary.firstTokenMilliseconds) {
-			this.#attained.add(1, {tier});
+			this.#inTime.add(1, {tier});
 		}
 	}
 }
 
-function codeOf(end: CallEnd): ReasonCode {
+function reasonCodeOf(end: CallEnd): ReasonCode {
 	switch (end.type) {
 		case 'whole': {
 			return ReasonCode.finished;
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -15,10 +15,10 @@
 import {Limiter} from './limits/index.js';
 import {RequestServer} from './request-server.js';
 import {type CallEnd} from './model-call.js';
-import {RetryKeeper} from './retry-keeper.js';
+import {RetryController} from './retry-controller.js';
 import {type SideLink} from './side-link.js';
 
-/** Where an entry reads its catalogue; the follower of the platform's log is the usual one. */
+/** The source of an entry's catalogue, usually the follower of the platform's log. */
 export type CatalogueSource = {
 	readonly isReady: boolean;
 	current(): Catalogue;
@@ -30,7 +30,7 @@
 	readonly host: string;
 	readonly port: number;
 	readonly bodyLimitBytes: number;
-	/** Where other entries reach this one, to share limits; the membership list names it. */
+	/** The address at which other entries reach this one to share limits; published in the membership list. */
 	readonly internalHost?: string;
 	readonly internalPort?: number;
 	readonly security: Security;
@@ -39,18 +39,18 @@
 	readonly placement: Placement<State>;
 	readonly logger: PartLogger;
 	readonly random: () => number;
-	/** What is known of requests that crash endpoints; without it none is refused. */
+	/** Records of requests that crash endpoints; without it no request is refused as quarantined. */
 	readonly quarantine?: QuarantineLedger;
 	/** Claims idempotency keys; without it a keyed request that may not be repeated is refused. */
 	readonly claims?: ClaimManager;
-	/** Metrics and decisions; a private one if left out. */
+	/** Metrics and the decision journal; if omitted, the entry creates its own. */
 	readonly telemetry?: EntryTelemetry;
 	readonly onPeerMessage?: (link: SideLink, message: CatalogueMessage) => void;
-	/** Called once per model call, with how it ended. */
+	/** Called once per model call, with its result. */
 	readonly onEnd?: (caller: Caller, end: CallEnd) => void;
 };
 
-/** A thin instance behind the balancer: takes callers' requests and finds each one an endpoint. */
+/** A stateless instance behind the load balancer: accepts callers' requests and finds an endpoint for each. */
 export class Entry<State = unknown> implements AsyncDisposable {
 	static async create<State>(options: EntryOptions<State>): Promise<Entry<State>> {
 		const entry = new Entry(options);
@@ -62,8 +62,8 @@
 			catalogue: () => options.catalogue.current(),
 		});
 		entry.#limiter = limiter;
-		entry.#requests = RequestServer.create({
-			...options, fleet: entry.fleet, retries: entry.retries, telemetry: entry.telemetry, limiter, isStopping: () => entry.#stopping,
+		entry.#requestServer = RequestServer.create({
+			...options, fleet: entry.fleet, retries: entry.retries, telemetry: entry.telemetry, limiter, isStopping: () => entry.#isStopping,
 		});
 		entry.#server.listen(options.port, options.host);
 		await once(entry.#server, 'listening');
@@ -72,22 +72,22 @@
 	}
 
 	readonly fleet: Fleet<State>;
-	readonly retries: RetryKeeper;
+	readonly retries: RetryController;
 	readonly telemetry: EntryTelemetry;
 	readonly #options: EntryOptions<State>;
 	readonly #server: http.Server;
 	#address = '';
 	#limiter!: Limiter;
-	#requests!: RequestServer;
-	#active = 0;
-	/** Not ready any more, but still serving: the balancer has yet to notice. */
-	#retiring = false;
-	#stopping = false;
+	#requestServer!: RequestServer;
+	#activeCount = 0;
+	/** Readiness fails, but requests are still served until the load balancer has noticed. */
+	#isDraining = false;
+	#isStopping = false;
 	#onIdle: (() => void) | undefined;
 
 	private constructor(options: EntryOptions<State>) {
 		this.#options = options;
-		this.retries = RetryKeeper.create(options.random);
+		this.retries = RetryController.create(options.random);
 		this.telemetry = options.telemetry ?? EntryTelemetry.create(Metrics.create({role: 'entry'}), DecisionJournal.create());
 		this.fleet = Fleet.create({
 			...options,
@@ -99,33 +99,33 @@
 		});
 	}
 
-	/** IP number and port that callers use; still known after the entry has closed. */
+	/** IP address and port for callers; remains available after the entry has closed. */
 	get address(): string {
 		return this.#address;
 	}
 
-	/** IP number and port for other entries: the entry's address in the membership list. */
+	/** IP address and port for other entries: the entry's address in the membership list. */
 	get internalAddress(): string {
 		return this.#limiter.address;
 	}
 
-	/** True while the balancer should send work here. */
+	/** True while the load balancer should send requests here. */
 	get isReady(): boolean {
-		return !this.#retiring && this.#options.catalogue.isReady;
+		return !this.#isDraining && this.#options.catalogue.isReady;
 	}
 
 	get activeRequests(): number {
-		return this.#active;
+		return this.#activeCount;
 	}
 
-	/** Figures for `status`. */
+	/** Values for the operator's `status` command. */
 	status(): Omit<StatusAnswer, 'instance' | 'role'> {
 		const {zone, catalogue, quarantine} = this.#options;
 		return {
 			zone,
 			phase: this.#phase(),
 			catalogueOffset: catalogue.current().offset,
-			running: this.#active,
+			running: this.#activeCount,
 			waiting: [],
 			quarantined: quarantine?.quarantined().length ?? 0,
 			peers: this.fleet.connected.length,
@@ -133,24 +133,25 @@
 	}
 
 	/**
-	 * Fails readiness at once. Failure: the balancer learns of it late and goes on sending here.
-	 * Symptom: callers are refused by a planned stop. So new requests are still served for
-	 * `noticeMilliseconds`; after that they are refused as not run, and what is in progress ends.
+	 * Shuts down gracefully. Readiness fails at once, but new requests are served for another
+	 * `noticeMilliseconds`: the load balancer notices the change late, and callers would otherwise be
+	 * refused during a graceful shutdown. After that, new requests are refused as not run. Resolves when
+	 * no request is in progress.
 	 */
 	async drain(noticeMilliseconds = 0): Promise<void> {
-		this.#retiring = true;
+		this.#isDraining = true;
 		await new Promise(resolve => {
 			setTimeout(resolve, noticeMilliseconds);
 		});
-		this.#stopping = true;
-		if (this.#active > 0) {
+		this.#isStopping = true;
+		if (this.#activeCount > 0) {
 			await new Promise<void>(resolve => {
 				this.#onIdle = resolve;
 			});
 		}
 	}
 
-	/** Closes at once; `drain` first for a stop that cuts nothing. */
+	/** Closes at once and aborts requests in progress; call `drain` first to let them finish. */
 	async [Symbol.asyncDispose](): Promise<void> {
 		await this.fleet[Symbol.asyncDispose]();
 		await this.#limiter[Symbol.asyncDispose]();
@@ -159,7 +160,7 @@
 	}
 
 	#phase(): StatusAnswer['phase'] {
-		if (this.#retiring) {
+		if (this.#isDraining) {
 			return 'leaving';
 		}
 
@@ -167,29 +168,29 @@
 	}
 
 	/**
-	 * Failure: a stop closes the sockets while the last bytes of an answer are still in ours.
-	 * Symptom: the caller gets a truncated answer. A request therefore counts as active until its
-	 * response is closed, which Node tells after the bytes have gone to the operating system.
+	 * A request counts as active until its response is closed, which Node reports after the bytes have
+	 * been handed to the operating system. Otherwise a shutdown could close the socket while the last
+	 * bytes are still in the process's buffer, and the caller would get a truncated response.
 	 */
 	#accept(request: IncomingMessage, response: ServerResponse): void {
 		const id = createRequestId();
-		this.#active += 1;
-		this.telemetry.active(this.#active);
-		if (this.#retiring) {
+		this.#activeCount += 1;
+		this.telemetry.active(this.#activeCount);
+		if (this.#isDraining) {
 			response.setHeader('connection', 'close');
 		}
 
 		response.once('close', () => {
-			this.#active -= 1;
-			this.telemetry.active(this.#active);
-			if (this.#active === 0) {
+			this.#activeCount -= 1;
+			this.telemetry.active(this.#activeCount);
+			if (this.#activeCount === 0) {
 				this.#onIdle?.();
 			}
 		});
-		void spawn('request', () => this.#requests.serve(id, request, response));
+		void spawn('request', () => this.#requestServer.serve(id, request, response));
 	}
 }
 
 function ignorePeerMessage(): void {
-	// Nothing follows the peers' catalogue offsets unless the options say who does.
+	// Without `onPeerMessage`, catalogue messages from peers are ignored.
 }
--- a/src/entry/fleet.ts
+++ b/src/entry/fleet.ts
@@ -8,11 +8,12 @@
 import {dial, type Message, protocolVersion, type Security} from '../wire/index.js';
 import {SideLink, type SideLinkOwner} from './side-link.js';
 
-const membershipMilliseconds = 1000;
+const membershipPollMilliseconds = 1000;
 const redialMilliseconds = 500;
-/** How often it looks which heartbeats are due. */
+/** How often the links are checked for due heartbeats. */
 const heartbeatTickMilliseconds = 500;
-const tickMilliseconds = 250;
+/** How often the placement policy gets a `tick` event. */
+const placementTickMilliseconds = 250;
 
 export type FleetOptions<State> = {
 	readonly instance: InstanceId;
@@ -24,14 +25,14 @@
 	readonly random: () => number;
 	readonly catalogueOffset: () => number;
 	readonly onPeerMessage: (link: SideLink, message: CatalogueMessage) => void;
-	/** What is known of requests that crash endpoints. */
+	/** Records of requests that crash endpoints. */
 	readonly quarantine?: QuarantineLedger;
 };
 
 /**
- * The sides that this entry knows: follows the membership list, keeps a connection to each side and
- * feeds what it learns to the placement policy. A side's own word outranks a broken connection,
- * which outranks the list.
+ * The sides (sidecar processes, one per endpoint) that this entry knows: polls the membership list, maintains a
+ * connection to each side and passes their state to the placement policy. A side's own state report takes
+ * precedence over the loss of its connection, which takes precedence over the membership list.
  */
 export class Fleet<State = unknown> implements AsyncDisposable, SideLinkOwner {
 	static create<State>(options: FleetOptions<State>): Fleet<State> {
@@ -44,7 +45,7 @@
 	#placementState: State;
 	#entries: ReadonlyMap<string, string> = new Map();
 	#members = new Map<string, Member>();
-	readonly #dialing = new Set<string>();
+	readonly #maintainedAddresses = new Set<string>();
 	readonly #links = new Map<EndpointId, SideLink>();
 	readonly #timers: NodeJS.Timeout[];
 	#closed = false;
@@ -53,11 +54,11 @@
 		this.#options = options;
 		this.#placementState = options.placement.create({instance: options.instance, zone: options.zone});
 		const heartbeat = setInterval(() => {
-			this.#beat();
+			this.#sendHeartbeats();
 		}, heartbeatTickMilliseconds);
 		const tick = setInterval(() => {
 			this.observe({type: 'tick'});
-		}, tickMilliseconds);
+		}, placementTickMilliseconds);
 		this.#timers = [heartbeat, tick];
 		options.quarantine?.listen((records, from) => {
 			if (from === 'process') {
@@ -66,14 +67,14 @@
 		});
 	}
 
-	/** Where to reserve a slot, best first. */
+	/** The endpoints at which to reserve a slot, best first. */
 	choose(summary: RequestSummary, excluded: ReadonlySet<EndpointId>): Choice {
 		return this.#options.placement.choose(this.#placementState, summary, excluded, this.#options.random(), performance.now());
 	}
 
 	/**
-	 * The one side that may run a suspect: the same at every entry that sees the same sides, so that
-	 * one endpoint at a time is risked for it.
+	 * The only endpoint that may run a suspect request. Every entry that is connected to the same sides
+	 * chooses the same one, so that the request can crash only one endpoint at a time.
 	 */
 	chooseForSuspect(summary: RequestSummary, excluded: ReadonlySet<EndpointId>): EndpointId | undefined {
 		const serving = this.connected.filter(({identity, state}) => identity?.targets.includes(summary.target) && state?.phase === 'serving' && !excluded.has(identity.endpoint));
@@ -85,7 +86,7 @@
 		return this.#links.get(endpoint);
 	}
 
-	/** Addresses of the live entries, as the membership list has them, by themselves: a name that all entries share. */
+	/** The live entries of the membership list, by address; the address is also the value, as all entries know an entry by it. */
 	get entries(): ReadonlyMap<string, string> {
 		return this.#entries;
 	}
@@ -95,12 +96,12 @@
 		return [...this.#links.values()];
 	}
 
-	/** Tells the placement policy what happened to a request or a side. */
+	/** Passes an event of a request or a side to the placement policy. */
 	observe(event: PlacementEvent): void {
 		this.#placementState = this.#options.placement.step(this.#placementState, event, performance.now());
 	}
 
-	sideSeen(link: SideLink): void {
+	sideUpdated(link: SideLink): void {
 		const {identity, state} = link;
 		if (identity === undefined) {
 			return;
@@ -139,11 +140,11 @@
 		this.observe({type: 'side-lost', endpoint});
 	}
 
-	quarantineHeard(records: readonly QuarantineRecord[]): void {
+	quarantineReceived(records: readonly QuarantineRecord[]): void {
 		this.#options.quarantine?.hear(records);
 	}
 
-	peerMessage(link: SideLink, message: CatalogueMessage): void {
+	peerMessageReceived(link: SideLink, message: CatalogueMessage): void {
 		this.#options.onPeerMessage(link, message);
 	}
 
@@ -154,45 +155,45 @@
 		}
 
 		for (const link of this.#links.values()) {
-			link.close('the entry stops');
+			link.close('the entry is shutting down');
 		}
 	}
 
 	* #followMembership(): Body<void> {
 		while (!this.#closed) {
-			yield * this.#refresh();
-			yield * sleep(membershipMilliseconds);
+			yield * this.#refreshMembers();
+			yield * sleep(membershipPollMilliseconds);
 		}
 	}
 
-	/** A list that can't be had changes nothing: connections and sides' own words go on. */
-	* #refresh(): Body<void> {
+	/** Reads the membership list. If that fails, the known members, the connections and the sides' reported states stay as they are. */
+	* #refreshMembers(): Body<void> {
 		let list: readonly Member[];
 		try {
 			list = yield * wait(this.#options.membership.list());
 		} catch (error) {
-			this.#options.logger.warn('The membership list can not be read.', {error: String(error)});
+			this.#options.logger.warn('The membership list cannot be read.', {error: String(error)});
 			return;
 		}
 
 		this.#entries = new Map(list.filter(member => member.role === 'entry' && member.state === 'live').map(({address}) => [address, address]));
 		this.#members = new Map(list.filter(member => member.role === 'side').map(member => [member.address, member]));
 		for (const member of this.#members.values()) {
-			if (!this.#dialing.has(member.address) && member.state === 'live') {
-				this.#dialing.add(member.address);
-				void spawn('side-link', () => this.#keepLink(member.address));
+			if (!this.#maintainedAddresses.has(member.address) && member.state === 'live') {
+				this.#maintainedAddresses.add(member.address);
+				void spawn('side-link', () => this.#maintainLink(member.address));
 			}
 		}
 	}
 
-	/** Keeps a connection to one address for as long as the list names it. */
-	* #keepLink(address: string): Body<void> {
+	/** Maintains a connection to one address for as long as it is in the membership list. */
+	* #maintainLink(address: string): Body<void> {
 		while (!this.#closed && this.#members.has(address)) {
 			yield * this.#connect(address);
 			yield * sleep(redialMilliseconds);
 		}
 
-		this.#dialing.delete(address);
+		this.#maintainedAddresses.delete(address);
 	}
 
 	* #connect(address: string): Body<void> {
@@ -208,20 +209,20 @@
 			}
 
 			if (this.#closed) {
-				link.close('the entry stops');
+				link.close('the entry is shutting down');
 			}
 
 			yield * link.read(this);
-			this.#options.logger.info('A connection to a side ended.', {address, reason: connection.closeReason});
+			this.#options.logger.info('The connection to a side ended.', {address, reason: connection.closeReason});
 		} catch (error) {
-			this.#options.logger.debug('A side does not answer.', {address, error: String(error)});
+			this.#options.logger.debug('Could not connect to a side.', {address, error: String(error)});
 		}
 	}
 
-	#beat(): void {
+	#sendHeartbeats(): void {
 		const offset = this.#options.catalogueOffset();
 		for (const link of this.#links.values()) {
-			link.beat(offset, this.#links.size);
+			link.sendHeartbeatIfDue(offset, this.#links.size);
 		}
 	}
 
--- a/src/entry/limits/peer.ts
+++ b/src/entry/limits/allocator-connection.ts
@@ -4,16 +4,16 @@
 export type LimitReport = MessageOf<'limit-report'>;
 export type LimitLease = MessageOf<'limit-lease'>;
 
-/** Waits so long before it calls a keeper that did not answer again. */
+/** Pause before the next connection attempt after one to the allocator failed. */
 const redialMilliseconds = 500;
 
 /**
- * The connection to one keeper, made when there is something to report. A quiet one is closed by
- * its silence and made again, so that entries keep no mesh of connections among themselves.
+ * The connection to one allocator, opened when there is something to report. An idle connection times out and is
+ * opened again when needed, so that entries do not maintain a full mesh of connections.
  */
-export class KeeperPeer {
-	static create(address: string, security: Security, onLease: (lease: LimitLease) => void): KeeperPeer {
-		return new KeeperPeer(address, security, onLease);
+export class AllocatorConnection {
+	static create(address: string, security: Security, onLease: (lease: LimitLease) => void): AllocatorConnection {
+		return new AllocatorConnection(address, security, onLease);
 	}
 
 	readonly #address: string;
@@ -31,7 +31,7 @@
 		this.#onLease = onLease;
 	}
 
-	/** Sends a report; while the connection is being made only the newest one waits. */
+	/** Sends a report; while the connection is being opened, only the newest report is kept. */
 	report(report: LimitReport): void {
 		if (this.#connection?.isOpen) {
 			this.#connection.send(report);
@@ -47,7 +47,7 @@
 
 	close(): void {
 		this.#isClosed = true;
-		this.#connection?.close('the entry stops');
+		this.#connection?.close('the entry is shutting down');
 	}
 
 	* #connect(): Body<void> {
@@ -61,7 +61,7 @@
 		}
 
 		if (this.#isClosed) {
-			this.#connection.close('the entry stops');
+			this.#connection.close('the entry is shutting down');
 			return;
 		}
 
--- a/src/entry/limits/index.ts
+++ b/src/entry/limits/index.ts
@@ -1,2 +1,2 @@
-/** Fleet-wide limits at an entry: shares from the keepers, and keeping for others. */
+/** Fleet-wide limits at an entry: admission by shares leased from the allocators, and allocation for other entries. */
 export {Limiter, type LimiterOptions} from './limiter.js';
--- a/src/entry/limits/limiter.ts
+++ b/src/entry/limits/limiter.ts
@@ -8,43 +8,44 @@
 	type AllocatorState, type Limits, type LimiterDecision, type LimiterState, type FleetPosition,
 } from '../../policy/limits/index.js';
 import {Listener, type Connection, type Security} from '../../wire/index.js';
-import {KeeperPeer, type LimitLease, type LimitReport} from './peer.js';
+import {AllocatorConnection, type LimitLease, type LimitReport} from './allocator-connection.js';
 
 export type LimiterOptions = {
-	/** Its name in `entries()`; its own address if left out. */
+	/** This entry's name in `entries()`; its address by default. */
 	readonly instance?: string;
 	readonly host: string;
 	readonly port: number;
 	readonly security: Security;
-	/** The live entries with the addresses of their limiters, this one among them, as the membership list has them. */
+	/** The live entries of the membership list, this one included, with the addresses of their limiters. */
 	entries(): ReadonlyMap<string, string>;
 	catalogue(): Catalogue;
 };
 
-/** How often it looks which reports are due. */
-const tickMilliseconds = 100;
-/** After a keeper did not answer, requests go by the even share for so long without a wait. */
-const disappointmentMilliseconds = 500;
-/** A class that saw no request for so long is not reported any more, and forgotten. */
-const idleMilliseconds = 10_000;
+/** How often the classes are checked for due reports. */
+const reportTickMilliseconds = 100;
+/** How long requests use the even share without waiting after an allocator did not respond. */
+const timeoutBackoffMilliseconds = 500;
+/** A class without requests for this long is no longer reported, and its state is discarded. */
+const classIdleMilliseconds = 10_000;
 
-/** A round trip to a keeper in another availability zone takes a few milliseconds; one that takes longer is out of reach. */
-const firstLeaseMilliseconds = 100;
-/** Requests of one class that may wait for its first lease; the others go by the even share at once. */
-const firstLeaseWaiters = 64;
+/** A round trip to an allocator in another availability zone takes a few milliseconds; a slower one counts as unreachable. */
+const firstLeaseTimeoutMilliseconds = 100;
+/** Requests of one class that may wait for a lease; further ones use the even share at once. */
+const maxFirstLeaseWaiters = 64;
 
-type Held = {
+/** A class with limits, as this entry applies them. Times are those of `performance.now()`. */
+type LimitedClass = {
 	state: LimiterState;
 	reportedAt: number;
-	/** When a wait for a lease was last in vain. */
-	disappointedAt: number;
+	/** When a wait for a lease last timed out. */
+	lastTimeoutAt: number;
 	readonly waiting: Set<Channel<true>>;
 };
 
 /**
- * Fleet-wide limits at one entry: decides requests by its share, reports its demand to each class's
- * keeper, and is keeper itself for the classes that rendezvous hashing gives it. Two entries that
- * both hold themselves for the keeper cost accuracy, never an answer.
+ * Applies fleet-wide limits at one entry: admits requests by the entry's share, reports demand to each class's
+ * allocator, and is itself the allocator of the classes that rendezvous hashing assigns to it. If two entries both
+ * act as the allocator of a class, limits are less accurate, but requests are still decided.
  */
 export class Limiter implements AsyncDisposable {
 	static async create(options: LimiterOptions): Promise<Limiter> {
@@ -58,71 +59,71 @@
 		return limiter;
 	}
 
-	/** Reports and leases so far, for the metrics. */
+	/** Numbers of class reports sent and of leases granted so far. */
 	readonly counts = {reported: 0, leased: 0};
 	readonly #options: LimiterOptions;
 	#listener!: Listener;
 	readonly #connections = new Set<Connection>();
-	readonly #peers = new Map<string, KeeperPeer>();
-	readonly #keepers = new Map<string, AllocatorState>();
-	readonly #classes = new Map<string, Held>();
+	readonly #peers = new Map<string, AllocatorConnection>();
+	readonly #allocators = new Map<string, AllocatorState>();
+	readonly #classes = new Map<string, LimitedClass>();
 	readonly #timer: NodeJS.Timeout;
 
 	private constructor(options: LimiterOptions) {
 		this.#options = options;
 		this.#timer = setInterval(() => {
-			this.#report();
-		}, tickMilliseconds);
+			this.#reportDueClasses();
+		}, reportTickMilliseconds);
 	}
 
 	get #self(): string {
 		return this.#options.instance ?? this.address;
 	}
 
-	/** IP number and port for other entries: the entry's address in the membership list. */
+	/** IP address and port for other entries: the entry's address in the membership list. */
 	get address(): string {
 		return this.#listener.address;
 	}
 
 	/**
-	 * Decides one request of a class. Each admitted one must be ended by `finish`.
+	 * Decides whether to admit one request of a class. `finish` must be called for each admitted request.
 	 *
-	 * Failure: an entry that has no lease yet goes by its even share, though the keeper has leased
-	 * that to others. Symptom: a limit is exceeded by whatever entries a class meets anew. The first
-	 * requests therefore wait a moment for the lease, unless the keeper did not answer just now.
+	 * An entry without a lease uses its even share, although the allocator may have leased that to other entries,
+	 * so that each entry which a class reaches for the first time adds to an excess over the limit. The first
+	 * requests therefore wait briefly for the lease, unless the allocator failed to respond recently.
 	 */
 	* admit(className: string, limits: Limits, promptTokens: number): Body<LimiterDecision> {
 		if (!isLimited(limits)) {
 			return {type: 'admitted'};
 		}
 
-		const held = this.#hold(className, limits);
-		if (lacksLease(held.state, performance.now())) {
-			yield * this.#awaitLease(className, held);
+		const limitedClass = this.#limitedClass(className, limits);
+		if (lacksLease(limitedClass.state, performance.now())) {
+			yield * this.#awaitLease(className, limitedClass);
 		}
 
-		const first = this.#decide(held, limits, promptTokens);
-		if (first.type === 'admitted' || !this.#isDue(held, true)) {
+		const first = this.#decide(limitedClass, limits, promptTokens);
+		if (first.type === 'admitted' || !this.#isDue(limitedClass, true)) {
 			return first;
 		}
 
-		yield * this.#awaitLease(className, held);
-		return this.#decide(held, limits, promptTokens);
+		yield * this.#awaitLease(className, limitedClass);
+		return this.#decide(limitedClass, limits, promptTokens);
 	}
 
-	/** Tokens of an admitted request's answer. */
+	/** Charges the response tokens of an admitted request to the class. */
 	spend(className: string, tokens: number): void {
-		const held = this.#classes.get(className);
-		if (held) {
-			held.state = spendTokens(held.state, tokens);
+		const limitedClass = this.#classes.get(className);
+		if (limitedClass) {
+			limitedClass.state = spendTokens(limitedClass.state, tokens);
 		}
 	}
 
-	/** An admitted request has ended, however it did. */
+	/** An admitted request has ended, with or without success. */
 	finish(className: string): void {
-		const held = this.#classes.get(className);
-		if (held && held.state.running > 0) {
-			held.state = finish(held.state, performance.now());
+		const limitedClass = this.#classes.get(className);
+		if (limitedClass && limitedClass.state.running > 0) {
+			limitedClass.state = finish(limitedClass.state, performance.now());
 		}
 	}
 
@@ -133,108 +134,108 @@
 		}
 
 		for (const connection of this.#connections) {
-			connection.close('the entry stops');
+			connection.close('the entry is shutting down');
 		}
 
 		await this.#listener[Symbol.asyncDispose]();
 	}
 
-	#hold(className: string, limits: Limits): Held {
+	#limitedClass(className: string, limits: Limits): LimitedClass {
 		const known = this.#classes.get(className);
 		if (known) {
 			return known;
 		}
 
-		const held: Held = {
-			state: createLimiter({limits, fleetPosition: this.#standing()}, performance.now()),
+		const limitedClass: LimitedClass = {
+			state: createLimiter({limits, fleetPosition: this.#fleetPosition()}, performance.now()),
 			reportedAt: Number.NEGATIVE_INFINITY,
-			disappointedAt: Number.NEGATIVE_INFINITY,
+			lastTimeoutAt: Number.NEGATIVE_INFINITY,
 			waiting: new Set(),
 		};
-		this.#classes.set(className, held);
-		return held;
+		this.#classes.set(className, limitedClass);
+		return limitedClass;
 	}
 
-	#decide(held: Held, limits: Limits, promptTokens: number): LimiterDecision {
-		const {state, decision} = admit(held.state, {limits, fleetPosition: this.#standing(), promptTokens}, performance.now());
-		held.state = state;
+	#decide(limitedClass: LimitedClass, limits: Limits, promptTokens: number): LimiterDecision {
+		const {state, decision} = admit(limitedClass.state, {limits, fleetPosition: this.#fleetPosition(), promptTokens}, performance.now());
+		limitedClass.state = state;
 		return decision;
 	}
 
-	#isDue(held: Held, isUrgent: boolean): boolean {
-		return performance.now() - held.reportedAt >= reportIntervalMilliseconds(held.state, isUrgent);
+	#isDue(limitedClass: LimitedClass, isUrgent: boolean): boolean {
+		return performance.now() - limitedClass.reportedAt >= reportIntervalMilliseconds(limitedClass.state, isUrgent);
 	}
 
-	* #awaitLease(className: string, held: Held): Body<void> {
+	* #awaitLease(className: string, limitedClass: LimitedClass): Body<void> {
 		const now = performance.now();
-		if (now - held.disappointedAt < disappointmentMilliseconds || held.waiting.size >= firstLeaseWaiters) {
+		if (now - limitedClass.lastTimeoutAt < timeoutBackoffMilliseconds || limitedClass.waiting.size >= maxFirstLeaseWaiters) {
 			return;
 		}
 
-		const arrived = channel<true>(1);
-		held.waiting.add(arrived);
-		if (this.#isDue(held, true)) {
+		const leaseArrived = channel<true>(1);
+		limitedClass.waiting.add(leaseArrived);
+		if (this.#isDue(limitedClass, true)) {
 			this.#reportClasses([className], now);
 		}
 
-		const {type} = yield * receiveWithin(arrived, firstLeaseMilliseconds);
-		held.waiting.delete(arrived);
+		const {type} = yield * receiveWithin(leaseArrived, firstLeaseTimeoutMilliseconds);
+		limitedClass.waiting.delete(leaseArrived);
 		if (type === 'timeout') {
-			held.disappointedAt = performance.now();
+			limitedClass.lastTimeoutAt = performance.now();
 		}
 	}
 
-	#standing(): FleetPosition {
+	#fleetPosition(): FleetPosition {
 		const names = [...this.#options.entries().keys()].toSorted();
 		return {entries: Math.max(names.length, 1), position: Math.max(names.indexOf(this.#self), 0)};
 	}
 
-	#report(): void {
+	#reportDueClasses(): void {
 		const now = performance.now();
 		const due: string[] = [];
-		for (const [name, held] of this.#classes) {
-			if (held.state.running === 0 && now - held.state.lastUsedAt > idleMilliseconds) {
+		for (const [name, limitedClass] of this.#classes) {
+			if (limitedClass.state.running === 0 && now - limitedClass.state.lastUsedAt > classIdleMilliseconds) {
 				this.#classes.delete(name);
 				continue;
 			}
 
-			if (this.#isDue(held, false)) {
+			if (this.#isDue(limitedClass, false)) {
 				due.push(name);
 			}
 		}
 
 		this.#reportClasses(due, now);
-		this.#forgetKeepers();
+		this.#discardExpiredState();
 	}
 
 	#reportClasses(names: readonly string[], now: number): void {
 		const entries = this.#options.entries();
-		const byKeeper = new Map<string, LimitReport['classes']>();
+		const byAllocator = new Map<string, LimitReport['classes']>();
 		for (const name of names) {
-			const held = this.#classes.get(name)!;
-			const {state, demand} = createReport(held.state, now);
-			held.state = state;
-			held.reportedAt = now;
-			const keeper = rankByRendezvous(name, entries.keys())[0] ?? this.#self;
-			byKeeper.set(keeper, [...byKeeper.get(keeper) ?? [], {name, ...demand}]);
+			const limitedClass = this.#classes.get(name)!;
+			const {state, demand} = createReport(limitedClass.state, now);
+			limitedClass.state = state;
+			limitedClass.reportedAt = now;
+			const allocator = rankByRendezvous(name, entries.keys())[0] ?? this.#self;
+			byAllocator.set(allocator, [...byAllocator.get(allocator) ?? [], {name, ...demand}]);
 		}
 
-		for (const [keeper, classes] of byKeeper) {
+		for (const [allocator, classes] of byAllocator) {
 			this.counts.reported += classes.length;
-			this.#send(keeper, entries.get(keeper), {type: 'limit-report', holder: this.#self, classes});
+			this.#send(allocator, entries.get(allocator), {type: 'limit-report', holder: this.#self, classes});
 		}
 	}
 
-	#send(keeper: string, address: string | undefined, report: LimitReport): void {
-		if (keeper === this.#self || address === undefined) {
-			this.#takeLeases(this.#lease(report));
+	#send(allocator: string, address: string | undefined, report: LimitReport): void {
+		if (allocator === this.#self || address === undefined) {
+			this.#applyLeases(this.#grantLeases(report));
 			return;
 		}
 
 		let peer = this.#peers.get(address);
 		if (!peer) {
-			peer = KeeperPeer.create(address, this.#options.security, lease => {
-				this.#takeLeases(lease);
+			peer = AllocatorConnection.create(address, this.#options.security, lease => {
+				this.#applyLeases(lease);
 			});
 			this.#peers.set(address, peer);
 		}
@@ -242,8 +243,8 @@
 		peer.report(report);
 	}
 
-	/** As the keeper: answers a report with shares. A class that this process does not know gets none. */
-	#lease(report: LimitReport): LimitLease {
+	/** As the allocator, grants leases in response to a report. A class that is not in this entry's catalogue gets none. */
+	#grantLeases(report: LimitReport): LimitLease {
 		const now = performance.now();
 		const classes = report.classes.flatMap(({name, ...demand}) => {
 			const limits = this.#limitsOf(name);
@@ -251,35 +252,38 @@
 				return [];
 			}
 
-			const {state, lease} = grantLease(this.#keepers.get(name) ?? createAllocator(), {holder: report.holder, demand, limits}, now);
-			this.#keepers.set(name, state);
+			const {state, lease} = grantLease(this.#allocators.get(name) ?? createAllocator(), {holder: report.holder, demand, limits}, now);
+			this.#allocators.set(name, state);
 			return [{name, ...lease}];
 		});
 		this.counts.leased += classes.length;
 		return {type: 'limit-lease', classes};
 	}
 
-	#takeLeases(answer: LimitLease): void {
+	#applyLeases(leases: LimitLease): void {
 		const now = performance.now();
-		const standing = this.#standing();
-		for (const {name, ...lease} of answer.classes) {
-			const held = this.#classes.get(name);
+		const fleetPosition = this.#fleetPosition();
+		for (const {name, ...lease} of leases.classes) {
+			const limitedClass = this.#classes.get(name);
 			const limits = this.#limitsOf(name);
-			if (held && limits) {
-				held.state = applyLease(held.state, {limits, fleetPosition: standing}, lease, now);
-				for (const waiting of held.waiting) {
-					tryDeliver(waiting, true);
+			if (limitedClass && limits) {
+				limitedClass.state = applyLease(limitedClass.state, {limits, fleetPosition}, lease, now);
+				for (const waiter of limitedClass.waiting) {
+					tryDeliver(waiter, true);
 				}
 			}
 		}
 	}
 
-	/** Failure: classes come and go, and every keeper's state stays. Symptom: memory grows by the day. */
-	#forgetKeepers(): void {
+	/**
+	 * Discards the state of classes without current leases, and closes connections to entries that have left.
+	 * Without this, memory would grow without bound as classes come and go.
+	 */
+	#discardExpiredState(): void {
 		const now = performance.now();
-		for (const [name, state] of this.#keepers) {
+		for (const [name, state] of this.#allocators) {
 			if ([...state.values()].every(holding => holding.until <= now)) {
-				this.#keepers.delete(name);
+				this.#allocators.delete(name);
 			}
 		}
 
@@ -307,7 +311,7 @@
 
 			for (const message of messages) {
 				if (message.type === 'limit-report') {
-					connection.send(this.#lease(message));
+					connection.send(this.#grantLeases(message));
 				}
 			}
 		}
--- a/src/entry/model-call.ts
+++ b/src/entry/model-call.ts
@@ -4,13 +4,13 @@
 } from '../model/index.js';
 import {type QuarantineLedger} from '../platform/index.js';
 import {ReasonCode} from '../telemetry/index.js';
-import {ClaimGuard, eventsOf, keepEvents, type ClaimManager, type ClaimRequest, type ClaimStop} from './claims/index.js';
+import {ClaimGuard, decodeEvents, encodeEvents, type ClaimManager, type ClaimRequest, type ClaimStop} from './claims/index.js';
 import {type EntryTelemetry} from './entry-telemetry.js';
 import {type Fleet} from './fleet.js';
-import {type Answer, type ModelCall} from './protocol/index.js';
+import {type ResponseWriter, type ModelCall} from './protocol/index.js';
 import {creditWindow, type Progress, Relay, type RelayEnd} from './relay.js';
 import {inboxCapacity, type RequestEvent} from './request-event.js';
-import {type RetryKeeper} from './retry-keeper.js';
+import {type RetryController} from './retry-controller.js';
 import {type Slot} from './slot.js';
 import {SlotFinder, type SlotFound} from './slot-finder.js';
 
@@ -20,31 +20,32 @@
 	readonly summary: RequestSummary;
 	readonly path: string;
 	readonly call: ModelCall;
-	readonly answer: Answer;
+	readonly response: ResponseWriter;
 	readonly arrivedAt: number;
-	readonly retries: RetryKeeper;
-	/** What is known of requests that crash endpoints. */
+	readonly retries: RetryController;
+	/** Records of requests that crash endpoints. */
 	readonly quarantine?: QuarantineLedger;
-	/** For a request that may run once at most under its key. */
-	readonly claim?: {readonly keeper: ClaimManager; readonly request: ClaimRequest};
+	/** Set for a request that may run at most once under its idempotency key. */
+	readonly claim?: {readonly manager: ClaimManager; readonly request: ClaimRequest};
 };
 
+/** The result of a model call; `tokens` counts the token events passed to the caller. */
 export type CallEnd
 	= | {readonly type: 'whole'; readonly tokens: number; readonly firstTokenMilliseconds: number | undefined; readonly attempts: number}
 		| {readonly type: 'failed'; readonly failure: Failure; readonly tokens: number; readonly attempts: number}
 		| {readonly type: 'caller-left'; readonly tokens: number; readonly attempts: number};
 
 /**
- * One model call from its admission to its last byte: find a slot, send the body, relay the answer,
- * and go elsewhere if the verdict allows. Whatever the caller already has stays; a new attempt
- * resumes after it.
+ * One model call from its admission to its last byte: finds a slot, sends the request body, relays the
+ * response, and retries on another endpoint if the verdict allows. A retry resumes the response after
+ * the events that the caller already has.
  */
 export class ModelCallInProgress {
 	static create(options: ModelCallOptions): ModelCallInProgress {
 		return new ModelCallInProgress(options);
 	}
 
-	/** Where the caller's connection and the side links report to. */
+	/** Receives the events of the caller's connection and of the side links. */
 	readonly inbox: Channel<RequestEvent> = channel<RequestEvent>(inboxCapacity);
 	readonly #options: ModelCallOptions;
 	readonly #progress: Progress = {events: [], firstTokenAt: undefined};
@@ -53,17 +54,17 @@
 	#attempts = 0;
 	#failures = 0;
 	#preemptions = 0;
-	readonly #alarm: Alarm;
+	readonly #timer: Alarm;
 	readonly #claim: ClaimGuard | undefined;
 
 	private constructor(options: ModelCallOptions) {
 		this.#options = options;
-		this.#alarm = Alarm.create(this.inbox);
+		this.#timer = Alarm.create(this.inbox);
 		const {claim} = options;
-		this.#claim = claim && ClaimGuard.create(claim.keeper, claim.request, () => {
+		this.#claim = claim && ClaimGuard.create(claim.manager, claim.request, () => {
 			tryDeliver(this.inbox, {type: 'claim-stopped'});
 		});
-		this.#finder = SlotFinder.create({...options, inbox: this.inbox, alarm: this.#alarm, claim: this.#claim});
+		this.#finder = SlotFinder.create({...options, inbox: this.inbox, timer: this.#timer, claim: this.#claim});
 	}
 
 	/** The caller closed its connection. */
@@ -73,14 +74,14 @@
 
 	* run(): Body<CallEnd> {
 		try {
-			return yield * this.#attempt();
+			return yield * this.#runAttempts();
 		} finally {
-			this.#alarm[Symbol.dispose]();
+			this.#timer[Symbol.dispose]();
 			this.inbox.close();
 		}
 	}
 
-	* #attempt(): Body<CallEnd> {
+	* #runAttempts(): Body<CallEnd> {
 		for (;;) {
 			const found = yield * this.#finder.find({
 				promptTokens: this.#options.summary.promptTokens + this.#progress.events.length, preemptions: this.#preemptions,
@@ -90,20 +91,20 @@
 			}
 
 			this.#attempts += 1;
-			const end = yield * this.#runAt(found.slot);
+			const end = yield * this.#runAttempt(found.slot);
 			if (end.type === 'whole') {
-				return yield * this.#whole(end.usage, found.slot.endpoint);
+				return yield * this.#complete(end.usage, found.slot.endpoint);
 			}
 
 			if (end.type === 'caller-left') {
-				return this.#left();
+				return this.#endCancelled();
 			}
 
-			if (!(yield * this.#mayGoOn(end.failure))) {
+			if (!(yield * this.#awaitRetry(end.failure))) {
 				return yield * this.#fail(end.failure);
 			}
 
-			this.#prepareNext(found.slot, end.failure);
+			this.#prepareRetry(found.slot, end.failure);
 		}
 	}
 
@@ -114,30 +115,30 @@
 			}
 
 			case 'caller-left': {
-				return this.#left();
+				return this.#endCancelled();
 			}
 
 			case 'claim-stopped': {
-				return yield * this.#stopped(found.stop);
+				return yield * this.#endByClaim(found.stop);
 			}
 		}
 	}
 
-	/** The key is another request's: its answer if that is known, or a failure. */
-	* #stopped(stop: ClaimStop): Body<CallEnd> {
+	/** Ends a call whose key was not acquired: with the cached response of the key's request, or with a failure. */
+	* #endByClaim(stop: ClaimStop): Body<CallEnd> {
 		if (stop.type === 'failed') {
 			return yield * this.#fail(stop.failure);
 		}
 
-		const {answer} = this.#options;
-		const {events, usage} = eventsOf(stop.answer);
-		answer.write(events);
-		answer.finish(usage);
+		const {response} = this.#options;
+		const {events, usage} = decodeEvents(stop.response);
+		response.write(events);
+		response.finish(usage);
 		return {type: 'whole', tokens: events.length, firstTokenMilliseconds: undefined, attempts: this.#attempts};
 	}
 
-	* #runAt(slot: Slot): Body<RelayEnd> {
-		const {summary, path, call, fleet, answer, claim} = this.#options;
+	* #runAttempt(slot: Slot): Body<RelayEnd> {
+		const {summary, path, call, fleet, response, claim} = this.#options;
 		const {events} = this.#progress;
 		slot.link.send({
 			type: 'start',
@@ -149,7 +150,7 @@
 			body: call.body as Uint8Array<ArrayBuffer>,
 			more: false,
 			resumeTokens: events.length,
-			resumeText: textOf(events),
+			resumeText: responseText(events),
 			credit: creditWindow,
 		});
 		fleet.observe({type: 'started', endpoint: slot.endpoint, request: summary.id, prefix: summary.prefix});
@@ -159,17 +160,18 @@
 			summary,
 			inbox: this.inbox,
 			slot,
-			answer,
+			response,
 			progress: this.#progress,
-			alarm: this.#alarm,
+			timer: this.#timer,
 		}).run();
 	}
 
 	/**
-	 * A preempted request did nothing wrong and nor did its endpoint: it may wait its class's time
-	 * once more, at any side. Sides preempt one request a bounded number of times.
+	 * Excludes the failed endpoint from the next search, except after a preemption: that is no fault of the
+	 * endpoint, and the request may queue at any side for its class's full time again. Sides preempt one
+	 * request a bounded number of times.
 	 */
-	#prepareNext(slot: Slot, failure: Failure): void {
+	#prepareRetry(slot: Slot, failure: Failure): void {
 		if (failure.kind === FailureKind.preempted) {
 			this.#preemptions += 1;
 			return;
@@ -178,8 +180,11 @@
 		this.#finder.exclude(slot.endpoint);
 	}
 
-	/** Waits as long as the retry policy asks; a stream that was cut may wait for a slot as long as a new request. */
-	* #mayGoOn(failure: Failure): Body<boolean> {
+	/**
+	 * Waits as long as the retry policy asks; false if it allows no retry. An interrupted stream may queue for a
+	 * slot as long as a new request.
+	 */
+	* #awaitRetry(failure: Failure): Body<boolean> {
 		this.#verdict = combineVerdicts(this.#verdict, failure.verdict);
 		if (this.#progress.events.length > 0 || failure.kind === FailureKind.preempted) {
 			this.#finder.restartWait();
@@ -202,12 +207,12 @@
 		return true;
 	}
 
-	* #whole(usage: string | undefined, endpoint: EndpointId): Body<CallEnd> {
-		const {answer, arrivedAt} = this.#options;
-		answer.finish(usage);
+	* #complete(usage: string | undefined, endpoint: EndpointId): Body<CallEnd> {
+		const {response, arrivedAt} = this.#options;
+		response.finish(usage);
 		const {firstTokenAt, events} = this.#progress;
 		if (this.#claim) {
-			yield * this.#claim.finished(endpoint, keepEvents({events, usage}));
+			yield * this.#claim.finished(endpoint, encodeEvents({events, usage}));
 		}
 
 		return {
@@ -216,14 +221,14 @@
 	}
 
 	* #fail(failure: Failure): Body<CallEnd> {
-		const certain = combineVerdicts(this.#verdict, failure.verdict);
-		const verdict = this.#claim ? yield * this.#claim.failed(certain) : certain;
-		const told = {...failure, verdict};
-		this.#options.answer.fail(told);
-		return {type: 'failed', failure: told, tokens: this.#progress.events.length, attempts: this.#attempts};
+		const combined = combineVerdicts(this.#verdict, failure.verdict);
+		const verdict = this.#claim ? yield * this.#claim.failed(combined) : combined;
+		const reported = {...failure, verdict};
+		this.#options.response.fail(reported);
+		return {type: 'failed', failure: reported, tokens: this.#progress.events.length, attempts: this.#attempts};
 	}
 
-	#left(): CallEnd {
+	#endCancelled(): CallEnd {
 		this.#claim?.abandoned();
 		return {type: 'caller-left', tokens: this.#progress.events.length, attempts: this.#attempts};
 	}
@@ -231,15 +236,15 @@
 
 type TokenEvent = {choices?: Array<{delta?: {content?: string | undefined}; text?: string}>};
 
-/** The text of an answer so far, as an engine needs it to resume. */
-function textOf(events: readonly string[]): string {
+/** The text of a response so far, which an engine needs to resume it. */
+function responseText(events: readonly string[]): string {
 	return events.map(event => {
 		const choice = (JSON.parse(event) as TokenEvent).choices?.[0];
 		return choice?.delta?.content ?? choice?.text ?? '';
 	}).join('');
 }
 
-/** The failure of a request that came while its entry was stopping. */
-export function stoppingFailure(): Failure {
-	return createFailure(FailureKind.stopping, 'This instance is stopping.', {retryAfterMilliseconds: 0});
+/** The failure of a request that arrived while its entry was shutting down. */
+export function createStoppingFailure(): Failure {
+	return createFailure(FailureKind.stopping, 'This instance is shutting down.', {retryAfterMilliseconds: 0});
 }
--- a/src/entry/protocol/body.ts
+++ b/src/entry/protocol/body.ts
@@ -3,9 +3,9 @@
 import {createFailure, FailureKind, RequestError} from '../../model/index.js';
 
 /**
- * Reads a body whole. Throws a `RequestError` as soon as it is known to be longer than the limit;
- * the rest is then thrown away unread, so that the caller can still read the refusal. Node's request
- * timeout bounds how long that may take.
+ * Reads a complete request body. Rejects with a `RequestError` as soon as the body is known to be longer than the
+ * limit; the rest is then received and discarded, so that the caller can still read the refusal. Node's request
+ * timeout limits how long that may take.
  */
 export function readBody(request: IncomingMessage, limitBytes: number): Promise<Uint8Array> {
 	return new Promise((resolve, reject) => {
--- a/src/entry/protocol/whole-answer.ts
+++ b/src/entry/protocol/buffered-response.ts
@@ -1,33 +1,33 @@
 import {type ServerResponse} from 'node:http';
 import {createFailure, type Failure, FailureKind, Verdict} from '../../model/index.js';
-import {type Answer} from './answer.js';
-import {AnswerCollector, type AnswerKind} from './collector.js';
+import {type ResponseWriter} from './response-writer.js';
+import {ResponseCollector, type ResponseKind} from './collector.js';
 import {sendFailure} from './failure-response.js';
 import {HeaderName} from './headers.js';
 
-type WholeOptions = {
+type BufferedResponseOptions = {
 	readonly requestId: string;
-	readonly kind: AnswerKind;
+	readonly kind: ResponseKind;
 };
 
-/** Joins an answer's events and writes them as one object. Nothing goes out before the last event. */
-export class WholeAnswer implements Answer {
-	static create(response: ServerResponse, options: WholeOptions): WholeAnswer {
-		return new WholeAnswer(response, options);
+/** Joins the events of a response and writes them as one object. Nothing is sent before the last event. */
+export class BufferedResponse implements ResponseWriter {
+	static create(response: ServerResponse, options: BufferedResponseOptions): BufferedResponse {
+		return new BufferedResponse(response, options);
 	}
 
 	readonly #response: ServerResponse;
-	readonly #options: WholeOptions;
-	readonly #collector: AnswerCollector;
+	readonly #options: BufferedResponseOptions;
+	readonly #collector: ResponseCollector;
 	#ended = false;
 
-	private constructor(response: ServerResponse, options: WholeOptions) {
+	private constructor(response: ServerResponse, options: BufferedResponseOptions) {
 		this.#response = response;
 		this.#options = options;
-		this.#collector = AnswerCollector.create(options.kind);
+		this.#collector = ResponseCollector.create(options.kind);
 	}
 
-	get started(): boolean {
+	get hasStarted(): boolean {
 		return this.#response.headersSent;
 	}
 
@@ -38,7 +38,7 @@
 
 		for (const event of events) {
 			if (!this.#collector.add(event)) {
-				this.fail(createFailure(FailureKind.badAnswer, 'The engine sent an event that is not of the published shape.', {verdict: Verdict.mayHaveRun}));
+				this.fail(createFailure(FailureKind.badAnswer, 'The engine sent an event that does not have the OpenAI format.', {verdict: Verdict.mayHaveRun}));
 				return true;
 			}
 		}
@@ -46,7 +46,7 @@
 		return true;
 	}
 
-	/** Nothing is written before the end, so there is nothing to wait for. */
+	/** Resolves at once, as nothing is written before the end. */
 	drained(): Promise<void> {
 		return Promise.resolve();
 	}
--- a/src/entry/protocol/collector.ts
+++ b/src/entry/protocol/collector.ts
@@ -1,7 +1,7 @@
 import {z} from 'zod';
 
-/** Which of the two published shapes an answer has. */
-export type AnswerKind = 'chat' | 'completion';
+/** Which of the two OpenAI response formats is used. */
+export type ResponseKind = 'chat' | 'completion';
 
 type Fields = Record<string, unknown>;
 
@@ -19,24 +19,24 @@
 type Event = z.infer<typeof eventSchema>;
 type Choice = NonNullable<Event['choices']>[number];
 
-/** Joins the events of one streamed answer to the object that a caller without streaming gets. */
-export class AnswerCollector {
-	static create(kind: AnswerKind): AnswerCollector {
-		return new AnswerCollector(kind);
+/** Joins the events of one streamed response into the object that a caller without streaming gets. */
+export class ResponseCollector {
+	static create(kind: ResponseKind): ResponseCollector {
+		return new ResponseCollector(kind);
 	}
 
-	readonly #kind: AnswerKind;
+	readonly #kind: ResponseKind;
 	readonly #message: Fields = {};
 	#head: Event = {};
 	#text = '';
 	#finishReason: string | undefined;
 	#logprobs: Fields | undefined;
 
-	private constructor(kind: AnswerKind) {
+	private constructor(kind: ResponseKind) {
 		this.#kind = kind;
 	}
 
-	/** Adds an event; false says that it is not of the published shape. */
+	/** Adds an event; false if it does not have the OpenAI format. */
 	add(text: string): boolean {
 		const event = parseEvent(text);
 		if (event === undefined) {
@@ -88,31 +88,31 @@
 	}
 }
 
-/** Parts of a delta that repeat unchanged instead of growing. */
+/** Fields of a delta that are repeated unchanged and must not be concatenated. */
 const fixedFields = new Set(['role', 'id', 'type', 'index']);
 
-/** Texts and lists grow from event to event; numbered list items, such as tool calls, grow each by itself. */
-function mergeFields(into: Fields, delta: Fields): void {
+/** Concatenates texts and lists from event to event; list items with an index, such as tool calls, are merged by index. */
+function mergeFields(target: Fields, delta: Fields): void {
 	for (const [name, value] of Object.entries(delta)) {
 		if (value === null || value === undefined) {
 			continue;
 		}
 
-		into[name] = mergeField(name, into[name], value);
+		target[name] = mergeField(name, target[name], value);
 	}
 }
 
-function mergeField(name: string, held: unknown, value: unknown): unknown {
-	if (typeof value === 'string' && typeof held === 'string' && !fixedFields.has(name)) {
-		return held + value;
+function mergeField(name: string, existing: unknown, value: unknown): unknown {
+	if (typeof value === 'string' && typeof existing === 'string' && !fixedFields.has(name)) {
+		return existing + value;
 	}
 
 	if (Array.isArray(value)) {
-		return mergeList(Array.isArray(held) ? held as unknown[] : [], value as unknown[]);
+		return mergeList(Array.isArray(existing) ? existing as unknown[] : [], value as unknown[]);
 	}
 
 	if (typeof value === 'object') {
-		const merged = isFields(held) ? held : {};
+		const merged = isFields(existing) ? existing : {};
 		mergeFields(merged, value as Fields);
 		return merged;
 	}
@@ -120,19 +120,19 @@
 	return value;
 }
 
-function mergeList(held: unknown[], items: readonly unknown[]): unknown[] {
+function mergeList(existing: unknown[], items: readonly unknown[]): unknown[] {
 	for (const item of items) {
 		const index = isFields(item) ? item.index : undefined;
-		const known = index === undefined ? undefined : held.find(other => isFields(other) && other.index === index);
-		if (isFields(known) && isFields(item)) {
-			mergeFields(known, item);
+		const match = index === undefined ? undefined : existing.find(other => isFields(other) && other.index === index);
+		if (isFields(match) && isFields(item)) {
+			mergeFields(match, item);
 			continue;
 		}
 
-		held.push(item);
+		existing.push(item);
 	}
 
-	return held;
+	return existing;
 }
 
 function isFields(value: unknown): value is Fields {
--- a/src/entry/protocol/drain.ts
+++ b/src/entry/protocol/drain.ts
@@ -1,6 +1,6 @@
 import {type Writable} from 'node:stream';
 
-/** Resolves when a stream takes more, or will never take anything again. */
+/** Resolves when a stream accepts more data, or is closed. */
 export async function drainedOrClosed(stream: Writable): Promise<void> {
 	if (!stream.writableNeedDrain || stream.destroyed) {
 		return;
--- a/src/entry/protocol/failure-response.ts
+++ b/src/entry/protocol/failure-response.ts
@@ -4,7 +4,7 @@
 
 const millisecondsPerSecond = 1000;
 
-/** A failure in the OpenAI error shape, with the verdict. */
+/** The response body of a failure: an OpenAI error object with the verdict. */
 export function failureBody(failure: Failure, requestId?: string): string {
 	return JSON.stringify({
 		error: {
@@ -18,7 +18,7 @@
 	});
 }
 
-/** The headers of a failure. */
+/** The response headers of a failure. */
 export function failureHeaders(failure: Failure, requestId?: string): Record<string, string> {
 	const headers: Record<string, string> = {[HeaderName.verdict]: failure.verdict};
 	if (requestId !== undefined) {
@@ -31,15 +31,15 @@
 	}
 
 	if (failure.verdict !== Verdict.notRun) {
-		// Failure: stock clients send again by themselves on a 5xx, also what may have run. Symptom: a
-		// ticket is printed twice. They honour this header, so only the application can decide to repeat.
+		// Standard clients retry automatically after a 5xx, even if the request may have run, so that it would
+		// run twice. They honour this header, which leaves the decision to retry to the application.
 		headers['X-Should-Retry'] = 'false';
 	}
 
 	return headers;
 }
 
-/** Answers with a failure, if nothing has been answered yet and the caller is still there. */
+/** Sends a failure as the response. If a response was already started or the caller has left, closes the connection. */
 export function sendFailure(response: ServerResponse, failure: Failure, requestId?: string): void {
 	if (response.headersSent || response.destroyed) {
 		response.destroy();
--- a/src/entry/protocol/headers.ts
+++ b/src/entry/protocol/headers.ts
@@ -1,4 +1,4 @@
-/** The header names of the caller protocol, as they are documented. Node compares them in lower case. */
+/** The header names of the caller protocol, as documented. Node reports request headers in lower case. */
 export const HeaderName = {
 	className: 'Cassiaflow-Class',
 	requestId: 'Cassiaflow-Request-Id',
--- a/src/entry/protocol/model-call.ts
+++ b/src/entry/protocol/model-call.ts
@@ -1,26 +1,26 @@
 import {z} from 'zod';
 import {createFailure, FailureKind, RequestError, sha256} from '../../model/index.js';
-import {PromptReader, type PromptSummary} from './prompt.js';
+import {PromptSummarizer, type PromptSummary} from './prompt.js';
 import {type Route} from './route.js';
 
-/** A route that a model engine answers. */
+/** A route that is served by a model engine. */
 export type ModelRoute = Extract<Route, {type: 'chat' | 'completion'}>;
 
-/** A caller's request to a model, checked, and rewritten for the engine. */
+/** A caller's request to a model, validated and rewritten for the engine. */
 export type ModelCall = {
 	readonly model: string;
-	/** True if the caller wants events, false if it wants one object. */
+	/** True if the caller requested server-sent events, false if it gets one object. */
 	readonly stream: boolean;
 	/** True if the caller asked for the usage event at the end of its stream. */
 	readonly includeUsage: boolean;
 	readonly maxTokens?: number;
 	/** Estimated from the bytes of the prompt. */
 	readonly promptTokens: number;
-	/** A hash of model and leading prompt text; equal ones are likely to share cached blocks. */
+	/** A hash of the model and the leading prompt text; requests with equal values are likely to share cached blocks. */
 	readonly prefix: string;
-	/** A hash of the body for the engine: equal when the caller sends the request again. */
+	/** A hash of the request body for the engine; equal when the caller sends the same request again. */
 	readonly fingerprintSource: string;
-	/** What the engine gets: streamed, with usage, the caller's other fields as they came. */
+	/** The request body for the engine: with streaming and usage enabled, and the caller's other fields unchanged. */
 	readonly body: Uint8Array;
 };
 
@@ -50,12 +50,12 @@
 
 const decoder = new TextDecoder('utf-8', {fatal: true});
 const encoder = new TextEncoder();
-const shownIssues = 3;
+const maxReportedIssues = 3;
 
 /**
- * Checks a body against the published shape of its route. Fields that are not known here go on to
- * the engine untouched. The engine always streams: the whole path works on events, and an answer
- * that the caller wants in one piece is joined at the entry. Throws a `RequestError`.
+ * Validates a body against the OpenAI schema of its route. Unknown fields are passed to the engine unchanged. The
+ * engine always streams: all components work on events, and for a caller without streaming the entry joins
+ * the events. Throws a `RequestError`.
  */
 export function parseModelCall(route: ModelRoute, body: Uint8Array): ModelCall {
 	const value = parseJson(body);
@@ -89,51 +89,51 @@
 }
 
 function summarizeChat(chat: Chat): PromptSummary {
-	const reader = PromptReader.create(chat.model);
+	const summarizer = PromptSummarizer.create(chat.model);
 	for (const message of chat.messages) {
-		reader.addText(message.role);
-		addContent(reader, message.content);
+		summarizer.addText(message.role);
+		addContent(summarizer, message.content);
 	}
 
-	return reader.summarize();
+	return summarizer.summarize();
 }
 
-function addContent(reader: PromptReader, content: Chat['messages'][number]['content']): void {
+function addContent(summarizer: PromptSummarizer, content: Chat['messages'][number]['content']): void {
 	if (typeof content === 'string') {
-		reader.addText(content);
+		summarizer.addText(content);
 		return;
 	}
 
 	for (const part of content ?? []) {
 		if (part.text === undefined) {
-			reader.addOtherPart();
+			summarizer.addNonTextPart();
 			continue;
 		}
 
-		reader.addText(part.text);
+		summarizer.addText(part.text);
 	}
 }
 
 function summarizeCompletion(completion: Completion): PromptSummary {
-	const reader = PromptReader.create(completion.model);
+	const summarizer = PromptSummarizer.create(completion.model);
 	if (typeof completion.prompt === 'string') {
-		reader.addText(completion.prompt);
-		return reader.summarize();
+		summarizer.addText(completion.prompt);
+		return summarizer.summarize();
 	}
 
 	for (const part of completion.prompt) {
 		if (typeof part === 'string') {
-			reader.addText(part);
+			summarizer.addText(part);
 		}
 	}
 
 	const tokenIds = completion.prompt.filter(part => typeof part === 'number');
 	if (tokenIds.length > 0) {
-		reader.addText(tokenIds.slice(0, 256).join(' '));
-		reader.addTokens(tokenIds.length);
+		summarizer.addText(tokenIds.slice(0, 256).join(' '));
+		summarizer.addTokens(tokenIds.length);
 	}
 
-	return reader.summarize();
+	return summarizer.summarize();
 }
 
 function parseJson(body: Uint8Array): unknown {
@@ -147,7 +147,7 @@
 	try {
 		return JSON.parse(text);
 	} catch {
-		// The parser's own message quotes the body, which may hold a prompt.
+		// The parser's message is not passed on, because it quotes the body, which may contain a prompt.
 		throw badRequest('The body is not JSON.');
 	}
 }
@@ -158,7 +158,7 @@
 		return result.data;
 	}
 
-	const problems = result.error.issues.slice(0, shownIssues).map(issue => `${issue.path.join('.') || 'body'}: ${issue.message}`);
+	const problems = result.error.issues.slice(0, maxReportedIssues).map(issue => `${issue.path.join('.') || 'body'}: ${issue.message}`);
 	throw badRequest(`The body is not valid: ${problems.join('; ')}.`);
 }
 
--- a/src/entry/protocol/prompt.ts
+++ b/src/entry/protocol/prompt.ts
@@ -1,31 +1,31 @@
 import {Buffer} from 'node:buffer';
 import {createHash} from 'node:crypto';
 
-/** Engines' tokenizers make about four bytes of text into a token; a better figure needs each model's own. */
+/** Tokenizers produce about one token for four bytes of text; a better estimate needs the tokenizer of each model. */
 const bytesPerToken = 4;
-/** What a part that is no text, such as an image, counts: the price of a small image in usual engines. */
-const tokensPerOtherPart = 256;
+/** Estimated tokens of a part that is not text, such as an image: the cost of a small image in common engines. */
+const tokensPerNonTextPart = 256;
 /**
- * Engines cache prompts in blocks of 16 to 32 tokens. Sixteen such blocks are enough to tell system
- * prompts apart, and few enough that requests which differ after them share the hash.
+ * Length of the leading prompt text that is hashed. Engines cache prompts in blocks of 16 to 32 tokens; sixteen such
+ * blocks are enough to distinguish system prompts, and few enough that requests which differ later share the hash.
  */
 const prefixBytes = 1024;
-const prefixDigits = 16;
+const prefixHexDigits = 16;
 
-/** What is read off a prompt without keeping it. */
+/** Properties of a prompt that are kept instead of its text. */
 export type PromptSummary = {
 	readonly tokens: number;
 	readonly prefix: string;
 };
 
-/** Collects the texts of a prompt in order. */
-export class PromptReader {
-	static create(model: string): PromptReader {
-		return new PromptReader(model);
+/** Estimates the tokens of a prompt and hashes its beginning, from its parts added in order. */
+export class PromptSummarizer {
+	static create(model: string): PromptSummarizer {
+		return new PromptSummarizer(model);
 	}
 
 	#tokens = 0;
-	#prefixLeft = prefixBytes;
+	#prefixBytesLeft = prefixBytes;
 	readonly #hash = createHash('sha256');
 
 	private constructor(model: string) {
@@ -34,25 +34,25 @@
 
 	addText(text: string): void {
 		this.#tokens += Buffer.byteLength(text) / bytesPerToken;
-		if (this.#prefixLeft <= 0) {
+		if (this.#prefixBytesLeft <= 0) {
 			return;
 		}
 
-		const leading = text.slice(0, this.#prefixLeft);
+		const leading = text.slice(0, this.#prefixBytesLeft);
 		this.#hash.update(leading).update('\n');
-		this.#prefixLeft -= leading.length;
+		this.#prefixBytesLeft -= leading.length;
 	}
 
 	addTokens(count: number): void {
 		this.#tokens += count;
 	}
 
-	addOtherPart(): void {
-		this.#tokens += tokensPerOtherPart;
+	addNonTextPart(): void {
+		this.#tokens += tokensPerNonTextPart;
 	}
 
-	/** Ends the reading. */
+	/** Returns the summary; nothing can be added afterwards. */
 	summarize(): PromptSummary {
-		return {tokens: Math.ceil(this.#tokens), prefix: this.#hash.digest('hex').slice(0, prefixDigits)};
+		return {tokens: Math.ceil(this.#tokens), prefix: this.#hash.digest('hex').slice(0, prefixHexDigits)};
 	}
 }
--- a/src/entry/protocol/route.ts
+++ b/src/entry/protocol/route.ts
@@ -1,10 +1,10 @@
 import {createFailure, FailureKind, RequestError, type TargetName} from '../../model/index.js';
 
-/** What a caller's request line asks for. */
+/** The target of a caller's request, from its method and URL. */
 export type Route
 	= | {readonly type: 'chat' | 'completion'; readonly path: string}
 		| {readonly type: 'models'}
-	/** A call of a plain service; `path` is what the service sees, query included. */
+	/** A call of a plain service; `path` is the path for the service, including the query. */
 		| {readonly type: 'service'; readonly name: TargetName; readonly path: string};
 
 const chatPath = '/v1/chat/completions';
@@ -49,9 +49,9 @@
 }
 
 /**
- * Failure: a path such as //other.example/x, resolved against the service's address, names another
- * host. Symptom: a caller reaches hosts that only the side can reach. Paths that start with two
- * slashes, or with a backslash that URL parsers read as one, are refused before they go anywhere.
+ * The path that is sent to the service. A path such as //other.example/x, resolved against the service's address,
+ * would name another host, so that a caller could reach hosts that only the side can reach. Paths that start with
+ * two slashes, or with a slash and a backslash that URL parsers read as a slash, are therefore refused.
  */
 function servicePath(rest: string): string {
 	const path = rest.startsWith('?') ? `/${rest}` : rest;
--- a/src/entry/protocol/stream-answer.ts
+++ b/src/entry/protocol/streaming-response.ts
@@ -1,41 +1,41 @@
 import {type ServerResponse} from 'node:http';
 import {type Failure} from '../../model/index.js';
-import {type Answer} from './answer.js';
+import {type ResponseWriter} from './response-writer.js';
 import {drainedOrClosed} from './drain.js';
 import {failureBody, sendFailure} from './failure-response.js';
 import {HeaderName} from './headers.js';
 
-type StreamOptions = {
+type StreamingResponseOptions = {
 	readonly requestId: string;
 	/** True if the caller asked for the usage event. */
 	readonly includeUsage: boolean;
 };
 
-/** How long a caller may take to read the error event before its connection is closed anyway. */
+/** How long a slow caller may delay the write of the error event before its connection is closed anyway. */
 const errorFlushMilliseconds = 5000;
 /**
- * Failure: a caller that is a moment behind meets the cut while the error event is still in its
- * buffer, and its HTTP library drops the buffer. Symptom: an answer that breaks off without a
- * verdict. A caller that reads the event closes at once; one that does not has this long.
+ * How long the connection stays open after the error event was written, unless the caller closes it first. If it was
+ * closed at once, the HTTP library of a caller that reads with a short delay would discard its buffer
+ * with the error event, and the response would end without a verdict.
  */
 const errorReadMilliseconds = 1000;
 
-/** Writes an answer as server-sent events. The status line goes out with the first event, not before. */
-export class StreamAnswer implements Answer {
-	static create(response: ServerResponse, options: StreamOptions): StreamAnswer {
-		return new StreamAnswer(response, options);
+/** Writes a response as server-sent events. The status line is sent with the first event, not before. */
+export class StreamingResponse implements ResponseWriter {
+	static create(response: ServerResponse, options: StreamingResponseOptions): StreamingResponse {
+		return new StreamingResponse(response, options);
 	}
 
 	readonly #response: ServerResponse;
-	readonly #options: StreamOptions;
+	readonly #options: StreamingResponseOptions;
 	#ended = false;
 
-	private constructor(response: ServerResponse, options: StreamOptions) {
+	private constructor(response: ServerResponse, options: StreamingResponseOptions) {
 		this.#response = response;
 		this.#options = options;
 	}
 
-	get started(): boolean {
+	get hasStarted(): boolean {
 		return this.#response.headersSent;
 	}
 
@@ -64,9 +64,9 @@
 	}
 
 	/**
-	 * Failure: a stream that ends cleanly after an error looks whole to a client that skips unknown
-	 * events. Symptom: half an answer is taken for all of it. The connection is therefore cut, soon
-	 * after the error event is out, without the end of the chunked body: no client can read that as success.
+	 * Sends a failure response if nothing was sent yet, otherwise an error event. After the error event the connection is
+	 * closed without the final chunk of the body: a client that skips unknown events would take a stream with a
+	 * clean end for complete and use a partial response.
 	 */
 	fail(failure: Failure): void {
 		if (this.#ended) {
--- a/src/entry/relay.ts
+++ b/src/entry/relay.ts
@@ -2,18 +2,18 @@
 import {createFailure, type Failure, FailureKind, type RequestSummary, Verdict} from '../model/index.js';
 import {type MessageOf, type StreamMessage} from '../wire/index.js';
 import {type Fleet} from './fleet.js';
-import {type Answer} from './protocol/index.js';
+import {type ResponseWriter} from './protocol/index.js';
 import {type RequestEvent} from './request-event.js';
 import {type Slot} from './slot.js';
 
-/** Events that a side may send ahead of what the caller has taken. */
+/** Events that a side may send ahead of what the caller has read. */
 export const creditWindow = 256;
-/** Credit is given back in portions, so that one frame serves many events. */
-const creditPortion = creditWindow / 4;
+/** Credit is granted in batches, so that one frame covers many events. */
+const creditBatch = creditWindow / 4;
 
-/** The part of the answer that the caller has; it outlives an attempt, so that a stream can resume. */
+/** The part of the response that the caller already has. It is kept across attempts, so that a stream can resume. */
 export type Progress = {
-	/** Every token event so far, in order; its length is the next token's index. */
+	/** All token events so far, in order; the length is the index of the next token. */
 	readonly events: string[];
 	firstTokenAt: number | undefined;
 };
@@ -23,27 +23,27 @@
 		| {readonly type: 'failed'; readonly failure: Failure}
 		| {readonly type: 'caller-left'};
 
-/** How long a side may send nothing while a request runs there, before it counts as hung. */
-export const stalledMilliseconds = 20_000;
+/** How long a side may send nothing during a request before it counts as hung. */
+export const stallTimeoutMilliseconds = 20_000;
 
-/** How often placement hears of one stream's progress; stragglers are judged over seconds. */
-const reportMilliseconds = 100;
+/** How often one stream's progress is reported to placement, which detects stragglers over seconds. */
+const progressReportMilliseconds = 100;
 
 export type RelayOptions = {
 	readonly fleet: Fleet;
 	readonly summary: RequestSummary;
 	readonly inbox: Channel<RequestEvent>;
 	readonly slot: Slot;
-	readonly answer: Answer;
+	readonly response: ResponseWriter;
 	readonly progress: Progress;
-	/** Ends an attempt that makes no progress. */
-	readonly alarm: Alarm;
+	/** Ends an attempt that makes no progress for `stallTimeoutMilliseconds`. */
+	readonly timer: Alarm;
 };
 
 /**
- * Passes one attempt's answer on to the caller. Every chunk must continue exactly where the caller's
- * part ends: a gap, a repeat or a short count is a fault of the endpoint and ends the attempt, and a
- * truncated stream is never ended as if it were whole.
+ * Relays the response of one attempt to the caller. Every chunk must continue exactly where the caller's
+ * part ends: a gap, a repetition or a count that is too low is a fault of the endpoint and ends the attempt.
+ * A truncated stream is never ended as if it were complete.
  */
 export class Relay {
 	static create(options: RelayOptions): Relay {
@@ -51,9 +51,9 @@
 	}
 
 	readonly #options: RelayOptions;
-	#owed = 0;
+	#uncreditedEvents = 0;
 	#progressedAt = performance.now();
-	/** Tokens since `#progressedAt` that placement has not heard of. */
+	/** Tokens since `#progressedAt` that were not reported to placement yet. */
 	#unreportedTokens = 0;
 
 	private constructor(options: RelayOptions) {
@@ -62,9 +62,9 @@
 
 	* run(): Body<RelayEnd> {
 		for (;;) {
-			this.#options.alarm.set(stalledMilliseconds);
+			this.#options.timer.set(stallTimeoutMilliseconds);
 			const event = yield * receive(this.#options.inbox);
-			const end = yield * this.#take(event ?? {type: 'caller-left'});
+			const end = yield * this.#handleEvent(event ?? {type: 'caller-left'});
 			if (end !== undefined) {
 				this.#close(end);
 				return end;
@@ -72,20 +72,20 @@
 		}
 	}
 
-	* #take(event: RequestEvent): Body<RelayEnd | undefined> {
+	* #handleEvent(event: RequestEvent): Body<RelayEnd | undefined> {
 		const {slot} = this.#options;
 		switch (event.type) {
 			case 'frame': {
-				const ours = event.link === slot.link && event.message.stream === slot.stream;
-				return ours ? yield * this.#takeFrame(event.message) : undefined;
+				const isExpected = event.link === slot.link && event.message.stream === slot.stream;
+				return isExpected ? yield * this.#handleFrame(event.message) : undefined;
 			}
 
 			case 'link-lost': {
-				return event.link === slot.link ? lost('The connection to the endpoint broke.') : undefined;
+				return event.link === slot.link ? endpointLostEnd('The connection to the endpoint broke.') : undefined;
 			}
 
 			case 'caller-left': {
-				return this.#callerLeft();
+				return this.#handleCallerLeft();
 			}
 
 			case 'claim-stopped': {
@@ -93,22 +93,22 @@
 			}
 
 			case 'alarm': {
-				if (!this.#options.alarm.hasFired) {
+				if (!this.#options.timer.hasFired) {
 					return undefined;
 				}
 
 				this.#send({type: 'cancel'});
-				return lost('The endpoint made no progress.');
+				return endpointLostEnd('The endpoint made no progress.');
 			}
 		}
 	}
 
 	/**
-	 * Failure: the caller of a request that may not be repeated leaves while it runs. Symptom: it runs
-	 * to its end all the same, and nobody has its answer when the caller asks again. It is read to its
-	 * end, though nothing is written any more.
+	 * Cancels the request if it is idempotent. A request that may not be repeated runs to its end anyway, so
+	 * its response is still read to the end, though no longer written: otherwise the response would be missing
+	 * when the caller sends the request again.
 	 */
-	#callerLeft(): RelayEnd | undefined {
+	#handleCallerLeft(): RelayEnd | undefined {
 		if (!this.#options.summary.idempotent) {
 			return undefined;
 		}
@@ -117,18 +117,18 @@
 		return {type: 'caller-left'};
 	}
 
-	* #takeFrame(message: StreamMessage): Body<RelayEnd | undefined> {
+	* #handleFrame(message: StreamMessage): Body<RelayEnd | undefined> {
 		switch (message.type) {
 			case 'chunk': {
-				return yield * this.#takeChunk(message);
+				return yield * this.#handleChunk(message);
 			}
 
 			case 'end': {
-				return message.count === this.#options.progress.events.length ? {type: 'whole', usage: message.usage} : badAnswer('The answer is shorter than announced.');
+				return message.count === this.#options.progress.events.length ? {type: 'whole', usage: message.usage} : badResponseEnd('The response is shorter than announced.');
 			}
 
 			case 'refuse': {
-				// The offer lapsed while the body was under way; the side gave the body to nobody.
+				// The slot's offer expired before the body arrived; the side has passed the body to no endpoint.
 				const {kind, message: text, retryAfterMilliseconds} = message;
 				return {type: 'failed', failure: createFailure(kind, text, {retryAfterMilliseconds})};
 			}
@@ -147,33 +147,33 @@
 			case 'body':
 			case 'credit':
 			case 'cancel': {
-				return badAnswer(`A side sent ${message.type} while a request ran.`);
+				return badResponseEnd(`The side sent an unexpected ${message.type} message during a request.`);
 			}
 		}
 	}
 
-	* #takeChunk(message: MessageOf<'chunk'>): Body<RelayEnd | undefined> {
-		const {progress, answer} = this.#options;
+	* #handleChunk(message: MessageOf<'chunk'>): Body<RelayEnd | undefined> {
+		const {progress, response} = this.#options;
 		if (message.index !== progress.events.length) {
 			this.#send({type: 'cancel'});
-			return badAnswer('Tokens came out of order.');
+			return badResponseEnd('Tokens arrived out of order.');
 		}
 
-		this.#observe(message.events.length);
+		this.#reportProgress(message.events.length);
 		progress.events.push(...message.events);
-		if (!answer.write(message.events)) {
-			const waitsSince = performance.now();
-			yield * wait(answer.drained());
-			// The time that a slow caller takes says nothing about the endpoint.
-			this.#progressedAt += performance.now() - waitsSince;
+		if (!response.write(message.events)) {
+			const waitStartedAt = performance.now();
+			yield * wait(response.drained());
+			// Time spent waiting for a slow caller must not count against the endpoint.
+			this.#progressedAt += performance.now() - waitStartedAt;
 		}
 
-		this.#giveCredit(message.events.length);
+		this.#grantCredit(message.events.length);
 		return undefined;
 	}
 
-	/** Tells placement of progress, a few times a second at most: it copies its state on each event. */
-	#observe(tokens: number): void {
+	/** Reports progress to placement, at most once per `progressReportMilliseconds`, as placement copies its state on each event. */
+	#reportProgress(tokens: number): void {
 		const {fleet, slot, summary, progress} = this.#options;
 		const now = performance.now();
 		const milliseconds = now - this.#progressedAt;
@@ -185,18 +185,18 @@
 		}
 
 		this.#unreportedTokens += tokens;
-		if (milliseconds >= reportMilliseconds) {
+		if (milliseconds >= progressReportMilliseconds) {
 			fleet.observe({type: 'progressed', endpoint: slot.endpoint, request: summary.id, tokens: this.#unreportedTokens, milliseconds});
 			this.#progressedAt = now;
 			this.#unreportedTokens = 0;
 		}
 	}
 
-	#giveCredit(events: number): void {
-		this.#owed += events;
-		if (this.#owed >= creditPortion) {
-			this.#send({type: 'credit', events: this.#owed});
-			this.#owed = 0;
+	#grantCredit(events: number): void {
+		this.#uncreditedEvents += events;
+		if (this.#uncreditedEvents >= creditBatch) {
+			this.#send({type: 'credit', events: this.#uncreditedEvents});
+			this.#uncreditedEvents = 0;
 		}
 	}
 
@@ -212,10 +212,10 @@
 	}
 }
 
-function lost(message: string): RelayEnd {
+function endpointLostEnd(message: string): RelayEnd {
 	return {type: 'failed', failure: createFailure(FailureKind.endpointLost, message, {verdict: Verdict.mayHaveRun})};
 }
 
-function badAnswer(message: string): RelayEnd {
+function badResponseEnd(message: string): RelayEnd {
 	return {type: 'failed', failure: createFailure(FailureKind.badAnswer, message, {verdict: Verdict.mayHaveRun})};
 }
--- a/src/entry/request-server.ts
+++ b/src/entry/request-server.ts
@@ -11,16 +11,16 @@
 import {type EntryTelemetry} from './entry-telemetry.js';
 import {type Fleet} from './fleet.js';
 import {type Limiter} from './limits/index.js';
-import {type CallEnd, ModelCallInProgress, stoppingFailure} from './model-call.js';
+import {type CallEnd, ModelCallInProgress, createStoppingFailure} from './model-call.js';
 import {
-	type ModelCall, parseModelCall, readBody, type Route, routeCall, sendFailure, StreamAnswer, WholeAnswer,
+	type ModelCall, parseModelCall, readBody, type Route, routeCall, sendFailure, StreamingResponse, BufferedResponse,
 } from './protocol/index.js';
-import {type RetryKeeper} from './retry-keeper.js';
+import {type RetryController} from './retry-controller.js';
 import {ServiceBody} from './service-body.js';
 import {ServiceCallInProgress} from './service-call.js';
 import {type CatalogueSource} from './entry.js';
 
-/** What serving a request needs of its entry. */
+/** The parts of an entry that serving a request needs. */
 export type RequestServerOptions = {
 	readonly bodyLimitBytes: number;
 	readonly catalogue: CatalogueSource;
@@ -29,7 +29,7 @@
 	readonly claims?: ClaimManager;
 	readonly onEnd?: (caller: Caller, end: CallEnd) => void;
 	readonly fleet: Fleet;
-	readonly retries: RetryKeeper;
+	readonly retries: RetryController;
 	readonly telemetry: EntryTelemetry;
 	readonly limiter: Limiter;
 	/** True once new requests are refused. */
@@ -40,8 +40,8 @@
 type ServiceRoute = Extract<Route, {type: 'service'}>;
 
 /**
- * Serves callers' requests: route, caller and class, limits, and then the call in progress, which
- * tells the caller the rest.
+ * Serves callers' requests: determines the route, the caller and its class, applies the limits, and
+ * then runs the call, which writes the response.
  */
 export class RequestServer {
 	static create(options: RequestServerOptions): RequestServer {
@@ -56,15 +56,15 @@
 
 	* serve(id: RequestId, request: IncomingMessage, response: ServerResponse): Body<void> {
 		try {
-			yield * this.#route(id, request, response);
+			yield * this.#dispatch(id, request, response);
 		} catch (error) {
 			this.#refuse(id, response, error);
 		}
 	}
 
 	/**
-	 * Whatever is thrown before a body left for a side is a refusal, and certain to be not run.
-	 * Later failures never get here: the call in progress tells them itself.
+	 * Reports an error thrown before the request body was sent to a side, so a `RequestError` is certain to be
+	 * not run. Later failures are reported by the call itself and are never thrown.
 	 */
 	#refuse(id: RequestId, response: ServerResponse, error: unknown): void {
 		if (error instanceof RequestError) {
@@ -77,11 +77,11 @@
 		sendFailure(response, createFailure(FailureKind.internal, 'The request failed inside the router.', {verdict: 'may-have-run'}), id);
 	}
 
-	* #route(id: RequestId, request: IncomingMessage, response: ServerResponse): Body<void> {
+	* #dispatch(id: RequestId, request: IncomingMessage, response: ServerResponse): Body<void> {
 		const arrivedAt = performance.now();
 		const route = routeCall(request.method ?? 'GET', request.url ?? '/');
-		const catalogue = this.#catalogueForWork();
-		const caller = identifyCaller(catalogue, request.headers.authorization, headerText(request, 'cassiaflow-class'));
+		const catalogue = this.#requireCatalogue();
+		const caller = identifyCaller(catalogue, request.headers.authorization, singleHeader(request, 'cassiaflow-class'));
 		switch (route.type) {
 			case 'models': {
 				sendModels(response, catalogue, caller);
@@ -101,9 +101,9 @@
 		}
 	}
 
-	#catalogueForWork(): Catalogue {
+	#requireCatalogue(): Catalogue {
 		if (this.#options.isStopping()) {
-			throw RequestError.create(stoppingFailure());
+			throw RequestError.create(createStoppingFailure());
 		}
 
 		if (!this.#options.catalogue.isReady) {
@@ -113,25 +113,25 @@
 		return this.#options.catalogue.current();
 	}
 
-	/** What must be claimed before the request may run: nothing, if it may be repeated or has no key. */
-	#claimOf(request: IncomingMessage, summary: RequestSummary, fingerprint: string): {keeper: ClaimManager; request: ClaimRequest} | undefined {
-		const key = headerText(request, 'idempotency-key');
+	/** The claim that the request needs before it may run; `undefined` if it is idempotent or has no key. */
+	#claimOptions(request: IncomingMessage, summary: RequestSummary, fingerprint: string): {manager: ClaimManager; request: ClaimRequest} | undefined {
+		const key = singleHeader(request, 'idempotency-key');
 		if (summary.idempotent || key === undefined) {
 			return undefined;
 		}
 
 		const {claims} = this.#options;
 		if (!claims) {
-			throw RequestError.create(createFailure(FailureKind.claimUnavailable, 'Idempotency keys can not be claimed here.'));
+			throw RequestError.create(createFailure(FailureKind.claimUnavailable, 'This instance cannot claim idempotency keys.'));
 		}
 
-		return {keeper: claims, request: {workspace: summary.workspace, key, fingerprint, requestId: summary.id}};
+		return {manager: claims, request: {workspace: summary.workspace, key, fingerprint, requestId: summary.id}};
 	}
 
 	/**
-	 * Runs an admitted request and ends its admission, however it ends. The key of a request is claimed
-	 * only after that, so that a refusal leaves no claim behind. One beyond its class's limits
-	 * is refused at once, as not run, and told when to come back.
+	 * Runs a request that its class's limits admit, and ends its admission when it ends, also by an error.
+	 * A request over the limits is refused at once, as not run, with the time after which to retry. `run`
+	 * claims the idempotency key, so that a refusal by the limits leaves no claim behind.
 	 */
 	* #withinLimits<Result>(caller: Caller, summary: RequestSummary, run: () => Body<Result>): Body<Result> {
 		const {name, limits} = caller.classEntry;
@@ -152,14 +152,14 @@
 		const method = request.method ?? 'GET';
 		checkTarget(catalogue, caller, 'service', route.name);
 		const body = ServiceBody.create(request);
-		yield * body.readFirst();
+		yield * body.readFirstPart();
 		const summary = summarize(caller, {
 			id,
 			target: route.name,
 			idempotent: isIdempotent(catalogue, route.name, method),
 			promptTokens: 0,
 			prefix: route.name,
-			fingerprint: fingerprintOf(caller.workspace.name as WorkspaceName, `${method} ${route.path}`, body.first),
+			fingerprint: fingerprintOf(caller.workspace.name as WorkspaceName, `${method} ${route.path}`, body.firstPart),
 		});
 		this.#options.retries.requestArrived();
 		this.#options.telemetry.classified(summary);
@@ -173,13 +173,13 @@
 			summary,
 			method: request.method ?? 'GET',
 			path: route.path,
-			headers: plainHeaders(request),
+			headers: forwardedHeaders(request),
 			body,
 			response,
 			arrivedAt,
 			retries: this.#options.retries,
 			quarantine: this.#options.quarantine,
-			claim: this.#claimOf(request, summary, summary.fingerprint),
+			claim: this.#claimOptions(request, summary, summary.fingerprint),
 		});
 		response.once('close', () => {
 			if (!response.writableFinished) {
@@ -207,10 +207,11 @@
 	}
 
 	* #runModelCall({id, request, response, arrivedAt, route}: CallContext<ModelRoute>, call: ModelCall, summary: RequestSummary): Body<CallEnd> {
-		const answer = call.stream ? StreamAnswer.create(response, {requestId: id, includeUsage: call.includeUsage}) : WholeAnswer.create(response, {requestId: id, kind: route.type});
+		const writer = call.stream ? StreamingResponse.create(response, {requestId: id, includeUsage: call.includeUsage}) : BufferedResponse.create(response, {requestId: id, kind: route.type});
 		const inProgress = ModelCallInProgress.create({
-			telemetry: this.#options.telemetry, fleet: this.#options.fleet, summary, path: route.path, call, answer, arrivedAt, retries: this.#options.retries, quarantine: this.#options.quarantine,
-			claim: this.#claimOf(request, summary, call.fingerprintSource),
+			telemetry: this.#options.telemetry, fleet: this.#options.fleet, summary, path: route.path, call, response: writer, arrivedAt,
+			retries: this.#options.retries, quarantine: this.#options.quarantine,
+			claim: this.#claimOptions(request, summary, call.fingerprintSource),
 		});
 		response.once('close', () => {
 			if (!response.writableFinished) {
@@ -233,8 +234,8 @@
 
 function sendModels(response: ServerResponse, catalogue: Catalogue, caller: Caller): void {
 	const {targets} = caller.classEntry;
-	const open = catalogue.models().filter(model => targets.length === 0 || targets.includes(model.name));
-	const data = open.map(model => ({id: model.name, object: 'model', created: 0, owned_by: model.owner}));
+	const available = catalogue.models().filter(model => targets.length === 0 || targets.includes(model.name));
+	const data = available.map(model => ({id: model.name, object: 'model', created: 0, owned_by: model.owner}));
 	response.writeHead(200, {'content-type': 'application/json'});
 	response.end(JSON.stringify({object: 'list', data}));
 }
@@ -244,13 +245,13 @@
 	return methods.includes(method);
 }
 
-/** What a service may be told; the side passes on only what concerns the content, and never the key. */
-function plainHeaders(request: IncomingMessage): Record<string, string> {
+/** The headers sent to a side, without credentials. The side forwards only headers about the content to the service. */
+function forwardedHeaders(request: IncomingMessage): Record<string, string> {
 	const {authorization: _, cookie: __, ...rest} = request.headers;
 	return Object.fromEntries(Object.entries(rest).filter((header): header is [string, string] => typeof header[1] === 'string'));
 }
 
-function headerText(request: IncomingMessage, name: string): string | undefined {
+function singleHeader(request: IncomingMessage, name: string): string | undefined {
 	const value = request.headers[name];
 	return typeof value === 'string' ? value : undefined;
 }
--- a/src/entry/retry-keeper.ts
+++ b/src/entry/retry-controller.ts
@@ -1,12 +1,12 @@
 import {budgetAllows, createRetryBudget, decideRetry, stepRetryBudget, type Attempt, type RetryBudget, type RetryDecision} from '../policy/retries/index.js';
 
-/** The retry budget of one entry, with the clock and the random source that the policy leaves out. */
-export class RetryKeeper {
-	static create(random: () => number): RetryKeeper {
-		return new RetryKeeper(random);
+/** Applies the retry policy at one entry: holds the retry budget and supplies the clock and the random source. */
+export class RetryController {
+	static create(random: () => number): RetryController {
+		return new RetryController(random);
 	}
 
-	/** Retries that were made, and those refused by reason. */
+	/** Numbers of retries made, and of retries refused by reason. */
 	readonly counts = {retries: 0, refused: {final: 0, verdict: 0, attempts: 0, deadline: 0, budget: 0}};
 	readonly #random: () => number;
 	#budget: RetryBudget = createRetryBudget(performance.now());
@@ -15,12 +15,12 @@
 		this.#random = random;
 	}
 
-	/** A request came in. */
+	/** Adds a new request to the retry budget. */
 	requestArrived(): void {
 		this.#budget = stepRetryBudget(this.#budget, {type: 'request'}, performance.now());
 	}
 
-	/** Decides about a failed attempt; a retry is paid for at once. */
+	/** Decides whether a failed attempt is retried; a retry is charged to the budget at once. */
 	decide(attempt: Attempt): RetryDecision {
 		const now = performance.now();
 		const decision = decideRetry(this.#budget, attempt, this.#random(), now);
@@ -34,7 +34,7 @@
 		}
 
 		if (!budgetAllows(this.#budget, now)) {
-			throw new Error('A retry beyond the budget.');
+			throw new Error('The policy allowed a retry that exceeds the budget.');
 		}
 
 		this.counts.retries += 1;
--- a/src/entry/service-body.ts
+++ b/src/entry/service-body.ts
@@ -4,54 +4,54 @@
 import {maximumPartBytes} from '../wire/index.js';
 import {type Slot} from './slot.js';
 
-/** Parts of a body that may be on their way to a service before it has taken one. */
-const bodyWindow = 16;
+/** Parts of a body that may be sent before the service has read the first one. */
+const bodyWindowParts = 16;
 
-/** A caller's body on its way to a service, read no faster than the service takes it. */
+/** A caller's request body that is streamed to a service, read from the caller no faster than the service reads it. */
 export class ServiceBody {
 	static create(request: IncomingMessage): ServiceBody {
 		return new ServiceBody(request);
 	}
 
-	/** The part that travels with `start`; the whole body if `isWhole`. */
-	first: Uint8Array<ArrayBuffer> = new Uint8Array();
-	isWhole = false;
-	#rest: Uint8Array<ArrayBuffer> = new Uint8Array();
+	/** The part that is sent with the `start` message; the complete body if `isComplete`. */
+	firstPart: Uint8Array<ArrayBuffer> = new Uint8Array();
+	isComplete = false;
+	#buffered: Uint8Array<ArrayBuffer> = new Uint8Array();
 	readonly #request: IncomingMessage;
 	readonly #chunks: AsyncIterator<Uint8Array>;
-	readonly #taken: Channel<number> = channel<number>(bodyWindow * 4);
+	readonly #credits: Channel<number> = channel<number>(bodyWindowParts * 4);
 
 	private constructor(request: IncomingMessage) {
 		this.#request = request;
 		this.#chunks = request.iterator({destroyOnReturn: false}) as AsyncIterator<Uint8Array>;
 	}
 
-	/** Waits for the first bytes, or the end. */
-	* readFirst(): Body<void> {
-		this.first = yield * wait(this.#next());
-		const nothingLeft = this.#rest.length === 0 && this.#request.complete && this.#request.readableLength === 0;
-		this.isWhole = this.first.length === 0 || nothingLeft;
+	/** Waits for the first bytes, or for the end of the body. */
+	* readFirstPart(): Body<void> {
+		this.firstPart = yield * wait(this.#next());
+		const nothingLeft = this.#buffered.length === 0 && this.#request.complete && this.#request.readableLength === 0;
+		this.isComplete = this.firstPart.length === 0 || nothingLeft;
 	}
 
-	/** The service took so many more parts. */
-	taken(parts: number): void {
-		tryDeliver(this.#taken, parts);
+	/** The service has read `parts` more parts. */
+	grantCredit(parts: number): void {
+		tryDeliver(this.#credits, parts);
 	}
 
-	/** Nothing more is to be sent: the call has ended. */
+	/** Stops sending because the call has ended. */
 	stop(): void {
-		this.#taken.close();
+		this.#credits.close();
 	}
 
-	/** Sends everything after the first part; throws if the caller breaks off. */
+	/** Sends everything after the first part; throws if the caller closes its connection before the end of the body. */
 	* sendRest(slot: Slot, request: RequestId): Body<void> {
-		let window = bodyWindow;
+		let window = bodyWindowParts;
 		let last = false;
 		while (!last) {
 			const bytes = yield * wait(this.#next());
 			last = bytes.length === 0;
 			while (window <= 0) {
-				const parts = yield * receive(this.#taken);
+				const parts = yield * receive(this.#credits);
 				if (parts === undefined) {
 					return;
 				}
@@ -66,13 +66,13 @@
 
 	/** The next part; an empty one at the end. */
 	async #next(): Promise<Uint8Array<ArrayBuffer>> {
-		if (this.#rest.length === 0) {
+		if (this.#buffered.length === 0) {
 			const next = await this.#chunks.next();
-			this.#rest = next.done ? new Uint8Array() : next.value as Uint8Array<ArrayBuffer>;
+			this.#buffered = next.done ? new Uint8Array() : next.value as Uint8Array<ArrayBuffer>;
 		}
 
-		const part = this.#rest.subarray(0, maximumPartBytes);
-		this.#rest = this.#rest.subarray(maximumPartBytes);
+		const part = this.#buffered.subarray(0, maximumPartBytes);
+		this.#buffered = this.#buffered.subarray(maximumPartBytes);
 		return part;
 	}
 }
--- a/src/entry/service-call.ts
+++ b/src/entry/service-call.ts
@@ -11,16 +11,16 @@
 import {type Fleet} from './fleet.js';
 import {drainedOrClosed} from './protocol/index.js';
 import {inboxCapacity, type RequestEvent} from './request-event.js';
-import {type RetryKeeper} from './retry-keeper.js';
-import {ServiceAnswer} from './service-answer.js';
+import {type RetryController} from './retry-controller.js';
+import {ServiceResponse} from './service-response.js';
 import {type ServiceBody} from './service-body.js';
 import {type Slot} from './slot.js';
 import {SlotFinder, type SlotFound} from './slot-finder.js';
 
-/** Parts of an answer that a side may send ahead of what the caller has taken. */
-const answerWindow = 16;
-/** Longer than a service may take for the head of its answer; after it the connection counts as hung. */
-const stalledMilliseconds = 70_000;
+/** Parts of a response that a side may send ahead of what the caller has read. */
+const responseWindow = 16;
+/** Time without progress after which the connection counts as hung; longer than a service may take for its response head. */
+const stallTimeoutMilliseconds = 70_000;
 
 export type ServiceCallOptions = {
 	readonly telemetry: EntryTelemetry;
@@ -32,11 +32,11 @@
 	readonly body: ServiceBody;
 	readonly response: ServerResponse;
 	readonly arrivedAt: number;
-	readonly retries: RetryKeeper;
-	/** What is known of requests that crash endpoints. */
+	readonly retries: RetryController;
+	/** Records of requests that crash endpoints. */
 	readonly quarantine?: QuarantineLedger;
-	/** For a call that may run once at most under its key. */
-	readonly claim?: {readonly keeper: ClaimManager; readonly request: ClaimRequest};
+	/** Set for a call that may run at most once under its idempotency key. */
+	readonly claim?: {readonly manager: ClaimManager; readonly request: ClaimRequest};
 };
 
 type AttemptEnd
@@ -45,8 +45,8 @@
 		| {readonly type: 'failed'; readonly failure: Failure};
 
 /**
- * One call of a plain service. A body that came in one part can be sent again if the verdict allows
- * it; one that is streamed can't, since nothing of it is kept.
+ * One call of a plain service. A request body that arrived in one part can be sent again if the verdict allows
+ * it; a streamed body cannot, since it is not buffered.
  */
 export class ServiceCallInProgress {
 	static create(options: ServiceCallOptions): ServiceCallInProgress {
@@ -55,57 +55,57 @@
 
 	readonly inbox: Channel<RequestEvent> = channel<RequestEvent>(inboxCapacity);
 	readonly #options: ServiceCallOptions;
-	readonly #alarm: Alarm;
+	readonly #timer: Alarm;
 	readonly #finder: SlotFinder;
 	readonly #claim: ClaimGuard | undefined;
-	readonly #answer: ServiceAnswer;
-	#parts = 0;
+	readonly #response: ServiceResponse;
+	#receivedParts = 0;
 	#attempts = 0;
 	#verdict: Verdict = Verdict.notRun;
 
 	private constructor(options: ServiceCallOptions) {
 		this.#options = options;
-		this.#alarm = Alarm.create(this.inbox);
+		this.#timer = Alarm.create(this.inbox);
 		const {claim} = options;
-		this.#claim = claim && ClaimGuard.create(claim.keeper, claim.request, () => {
+		this.#claim = claim && ClaimGuard.create(claim.manager, claim.request, () => {
 			tryDeliver(this.inbox, {type: 'claim-stopped'});
 		});
-		this.#finder = SlotFinder.create({...options, inbox: this.inbox, alarm: this.#alarm, claim: this.#claim});
-		this.#answer = ServiceAnswer.create(options.response, options.summary.id);
+		this.#finder = SlotFinder.create({...options, inbox: this.inbox, timer: this.#timer, claim: this.#claim});
+		this.#response = ServiceResponse.create(options.response, options.summary.id);
 	}
 
-	/** The caller closed its connection, or its body broke off. */
+	/** The caller closed its connection, or its request body ended early. */
 	callerLeft(): void {
 		tryDeliver(this.inbox, {type: 'caller-left'});
 	}
 
 	* run(): Body<void> {
 		try {
-			yield * this.#attempt();
+			yield * this.#runAttempts();
 		} finally {
-			this.#alarm[Symbol.dispose]();
+			this.#timer[Symbol.dispose]();
 			this.#options.body.stop();
 			this.inbox.close();
 		}
 	}
 
-	* #attempt(): Body<void> {
+	* #runAttempts(): Body<void> {
 		const {telemetry, summary} = this.#options;
 		for (;;) {
 			const found = yield * this.#finder.find();
-			const end = found.type === 'slot' ? yield * this.#runAt(found.slot) : endOf(found);
+			const end = found.type === 'slot' ? yield * this.#runAttempt(found.slot) : attemptEndOf(found);
 			if (end.type !== 'failed') {
-				yield * this.#settleClaim(end, found);
+				yield * this.#completeClaim(end, found);
 				telemetry.record(summary.id, end.type === 'whole' ? ReasonCode.finished : ReasonCode.cancelled);
 				return;
 			}
 
 			this.#verdict = combineVerdicts(this.#verdict, end.failure.verdict);
-			if (found.type !== 'slot' || !(yield * this.#mayGoOn(end.failure))) {
+			if (found.type !== 'slot' || !(yield * this.#awaitRetry(end.failure))) {
 				const verdict = this.#claim ? yield * this.#claim.failed(this.#verdict) : this.#verdict;
 				const failure = {...end.failure, verdict};
 				telemetry.refused(summary.id, failure);
-				this.#answer.fail(failure);
+				this.#response.fail(failure);
 				return;
 			}
 
@@ -113,7 +113,7 @@
 		}
 	}
 
-	* #settleClaim(end: AttemptEnd, found: SlotFound): Body<void> {
+	* #completeClaim(end: AttemptEnd, found: SlotFound): Body<void> {
 		if (end.type === 'whole' && found.type === 'slot') {
 			if (this.#claim) {
 				yield * this.#claim.finished(found.slot.endpoint);
@@ -125,9 +125,9 @@
 		this.#claim?.abandoned();
 	}
 
-	* #mayGoOn(failure: Failure): Body<boolean> {
+	* #awaitRetry(failure: Failure): Body<boolean> {
 		const {body, summary, retries} = this.#options;
-		if (!body.isWhole || this.#answer.started) {
+		if (!body.isComplete || this.#response.hasStarted) {
 			return false;
 		}
 
@@ -142,14 +142,15 @@
 		return true;
 	}
 
-	* #runAt(slot: Slot): Body<AttemptEnd> {
+	* #runAttempt(slot: Slot): Body<AttemptEnd> {
 		const {fleet, summary, method, path, headers, body} = this.#options;
 		this.#attempts += 1;
 		slot.link.send({
-			type: 'start', stream: slot.stream, request: summary.id, method, path, headers: {...headers}, body: body.first, more: !body.isWhole, resumeTokens: 0, resumeText: '', credit: answerWindow,
+			type: 'start', stream: slot.stream, request: summary.id, method, path, headers: {...headers},
+			body: body.firstPart, more: !body.isComplete, resumeTokens: 0, resumeText: '', credit: responseWindow,
 		});
 		fleet.observe({type: 'started', endpoint: slot.endpoint, request: summary.id});
-		if (!body.isWhole) {
+		if (!body.isComplete) {
 			void spawn('service-body', () => this.#sendBody(slot));
 		}
 
@@ -173,24 +174,24 @@
 
 	* #relay(slot: Slot): Body<AttemptEnd> {
 		for (;;) {
-			this.#alarm.set(stalledMilliseconds);
+			this.#timer.set(stallTimeoutMilliseconds);
 			const event = (yield * receive(this.inbox)) ?? {type: 'caller-left'};
-			const end = yield * this.#take(slot, event);
+			const end = yield * this.#handleEvent(slot, event);
 			if (end !== undefined) {
 				return end;
 			}
 		}
 	}
 
-	* #take(slot: Slot, event: RequestEvent): Body<AttemptEnd | undefined> {
+	* #handleEvent(slot: Slot, event: RequestEvent): Body<AttemptEnd | undefined> {
 		switch (event.type) {
 			case 'frame': {
-				const ours = event.link === slot.link && event.message.stream === slot.stream;
-				return ours ? yield * this.#takeFrame(slot, event.message) : undefined;
+				const isExpected = event.link === slot.link && event.message.stream === slot.stream;
+				return isExpected ? yield * this.#handleFrame(slot, event.message) : undefined;
 			}
 
 			case 'link-lost': {
-				return event.link === slot.link ? broken(FailureKind.endpointLost, 'The connection to the endpoint broke.') : undefined;
+				return event.link === slot.link ? failedEnd(FailureKind.endpointLost, 'The connection to the endpoint broke.') : undefined;
 			}
 
 			case 'caller-left': {
@@ -202,24 +203,24 @@
 			}
 
 			case 'alarm': {
-				return this.#alarm.hasFired ? broken(FailureKind.endpointLost, 'The endpoint made no progress.') : undefined;
+				return this.#timer.hasFired ? failedEnd(FailureKind.endpointLost, 'The endpoint made no progress.') : undefined;
 			}
 		}
 	}
 
-	* #takeFrame(slot: Slot, message: StreamMessage): Body<AttemptEnd | undefined> {
+	* #handleFrame(slot: Slot, message: StreamMessage): Body<AttemptEnd | undefined> {
 		switch (message.type) {
 			case 'head': {
-				this.#answer.writeHead(message.status, message.headers);
+				this.#response.writeHead(message.status, message.headers);
 				return undefined;
 			}
 
 			case 'data': {
-				return yield * this.#takeData(slot, message);
+				return yield * this.#handleData(slot, message);
 			}
 
 			case 'credit': {
-				this.#options.body.taken(message.events);
+				this.#options.body.grantCredit(message.events);
 				return undefined;
 			}
 
@@ -233,7 +234,7 @@
 			}
 
 			case 'refuse': {
-				// The offer lapsed while the body was under way; the side gave the body to nobody.
+				// The slot's offer expired before the body arrived; the side has passed the body to no endpoint.
 				const {kind, message: text, retryAfterMilliseconds} = message;
 				return {type: 'failed', failure: createFailure(kind, text, {retryAfterMilliseconds})};
 			}
@@ -245,18 +246,18 @@
 			case 'start':
 			case 'body':
 			case 'cancel': {
-				return broken(FailureKind.badAnswer, `A side sent ${message.type} while a call ran.`);
+				return failedEnd(FailureKind.badAnswer, `The side sent an unexpected ${message.type} message during a call.`);
 			}
 		}
 	}
 
-	* #takeData(slot: Slot, message: MessageOf<'data'>): Body<AttemptEnd | undefined> {
-		if (!this.#answer.started || message.index !== this.#parts) {
-			return broken(FailureKind.badAnswer, 'Parts of the answer came out of order.');
+	* #handleData(slot: Slot, message: MessageOf<'data'>): Body<AttemptEnd | undefined> {
+		if (!this.#response.hasStarted || message.index !== this.#receivedParts) {
+			return failedEnd(FailureKind.badAnswer, 'Parts of the response arrived out of order.');
 		}
 
-		this.#parts += 1;
-		if (!this.#answer.write(message.bytes)) {
+		this.#receivedParts += 1;
+		if (!this.#response.write(message.bytes)) {
 			yield * wait(drainedOrClosed(this.#options.response));
 		}
 
@@ -265,25 +266,25 @@
 	}
 
 	#end(message: MessageOf<'end'>): AttemptEnd {
-		if (!this.#answer.started || message.count !== this.#parts) {
-			return broken(FailureKind.badAnswer, 'The answer is shorter than announced.');
+		if (!this.#response.hasStarted || message.count !== this.#receivedParts) {
+			return failedEnd(FailureKind.badAnswer, 'The response is shorter than announced.');
 		}
 
-		this.#answer.finish();
+		this.#response.finish();
 		return {type: 'whole'};
 	}
 }
 
-/** A service's answers are streamed and not kept, so a key that ran can only be told to have run. */
-function endOf(found: Exclude<SlotFound, {type: 'slot'}>): AttemptEnd {
+/** A service's responses are streamed and not cached, so a repeated key can only be refused as in use. */
+function attemptEndOf(found: Exclude<SlotFound, {type: 'slot'}>): AttemptEnd {
 	if (found.type !== 'claim-stopped') {
 		return found;
 	}
 
 	const {stop} = found;
-	return stop.type === 'failed' ? stop : broken(FailureKind.keyInUse, 'Another request has this Idempotency-Key.');
+	return stop.type === 'failed' ? stop : failedEnd(FailureKind.keyInUse, 'Another request has this Idempotency-Key.');
 }
 
-function broken(kind: FailureKind, message: string): AttemptEnd {
+function failedEnd(kind: FailureKind, message: string): AttemptEnd {
 	return {type: 'failed', failure: createFailure(kind, message, {verdict: Verdict.mayHaveRun})};
 }
--- a/src/entry/service-answer.ts
+++ b/src/entry/service-response.ts
@@ -2,10 +2,10 @@
 import {type Failure, type RequestId} from '../model/index.js';
 import {HeaderName, sendFailure} from './protocol/index.js';
 
-/** Writes a plain service's answer to its caller. Ends once, in `finish` or `fail`. */
-export class ServiceAnswer {
-	static create(response: ServerResponse, requestId: RequestId): ServiceAnswer {
-		return new ServiceAnswer(response, requestId);
+/** Writes a plain service's response to the caller. Ended exactly once, by `finish` or `fail`. */
+export class ServiceResponse {
+	static create(response: ServerResponse, requestId: RequestId): ServiceResponse {
+		return new ServiceResponse(response, requestId);
 	}
 
 	readonly #response: ServerResponse;
@@ -16,8 +16,8 @@
 		this.#requestId = requestId;
 	}
 
-	/** True once the status line went out; a failure can no longer be told as a status. */
-	get started(): boolean {
+	/** True once the status line was sent; a failure can then no longer be reported by the status. */
+	get hasStarted(): boolean {
 		return this.#response.headersSent;
 	}
 
@@ -25,7 +25,7 @@
 		this.#response.writeHead(status, {...headers, [HeaderName.requestId]: this.#requestId});
 	}
 
-	/** False: the caller is slow. */
+	/** False if the caller reads slowly: wait before the next write. */
 	write(bytes: Uint8Array): boolean {
 		return this.#response.destroyed || this.#response.write(bytes);
 	}
@@ -34,7 +34,10 @@
 		this.#response.end();
 	}
 
-	/** Before the status line a failure is an answer; after it the connection is cut, so that nobody takes half for all. */
+	/**
+	 * Reports a failure as a response if the status line was not sent yet. Otherwise closes the connection, so that
+	 * a caller does not mistake a partial response for a complete one.
+	 */
 	fail(failure: Failure): void {
 		sendFailure(this.#response, failure, this.#requestId);
 	}
--- a/src/entry/side-link.ts
+++ b/src/entry/side-link.ts
@@ -4,25 +4,27 @@
 import {isGatewayMessage, type Connection, type Message, type MessageOf, protocolVersion, type StreamMessage} from '../wire/index.js';
 import {type RequestEvent} from './request-event.js';
 
-/** What a link tells the fleet it belongs to. */
+/** Receives the events of a link; implemented by the fleet that the link belongs to. */
 export type SideLinkOwner = {
-	/** The side said who it is, or its load or phase changed. */
-	sideSeen(link: SideLink): void;
+	/** The side's identity arrived, or its load or phase changed. */
+	sideUpdated(link: SideLink): void;
+	/** The connection to the side ended. */
 	sideLost(link: SideLink): void;
-	/** A message about no request: catalogue records and heartbeats. */
-	peerMessage(link: SideLink, message: CatalogueMessage): void;
-	/** Records of crashes by requests. */
-	quarantineHeard(records: MessageOf<'quarantine'>['records']): void;
+	/** A message that belongs to no request: hello, catalogue records and heartbeats. */
+	peerMessageReceived(link: SideLink, message: CatalogueMessage): void;
+	/** Records of requests that crashed endpoints. */
+	quarantineReceived(records: MessageOf<'quarantine'>['records']): void;
 };
 
 type OpenStream = {readonly request: RequestId; readonly inbox: Channel<RequestEvent>};
 
-/** What the side says of itself. */
+/** A side's identity, from its hello message. */
 export type SideIdentity = {readonly instance: string; readonly endpoint: EndpointId; readonly zone: ZoneName; readonly targets: readonly TargetName[]};
 
 /**
- * The connection to one side, with its open streams. A frame reaches a request's inbox only if both
- * its stream number and its request id are those of the stream; anything else is dropped and counted.
+ * The connection to one side (the sidecar process of one endpoint), with its open streams. A frame is
+ * delivered to a request's inbox only if its stream number and its request id match an open stream; other
+ * frames are dropped and counted.
  */
 export class SideLink {
 	static create(connection: Connection): SideLink {
@@ -31,9 +33,9 @@
 
 	identity: SideIdentity | undefined;
 	state: MessageOf<'state'> | undefined;
-	/** Frames for a stream that is not open: usual after a withdrawal. */
+	/** Frames for a stream that is not open; expected after a withdrawal. */
 	staleFrames = 0;
-	/** Frames whose request id is not the stream's: always a fault. */
+	/** Frames whose request id differs from the stream's; always a fault. */
 	foreignFrames = 0;
 	readonly #connection: Connection;
 	readonly #streams = new Map<number, OpenStream>();
@@ -47,7 +49,7 @@
 		return this.#connection.isOpen;
 	}
 
-	/** Opens a stream for a request; its frames go to `inbox` until `closeStream`. */
+	/** Opens a stream for a request; its frames are delivered to `inbox` until `closeStream`. */
 	openStream(request: RequestId, inbox: Channel<RequestEvent>): number {
 		this.#nextStream += 1;
 		this.#streams.set(this.#nextStream, {request, inbox});
@@ -55,14 +57,14 @@
 		return this.#nextStream;
 	}
 
-	/** Nothing that comes for this stream from now on reaches anyone. */
+	/** Closes a stream; frames that arrive for it later are dropped. */
 	closeStream(stream: number): void {
 		this.#streams.delete(stream);
 		this.#connection.setBusy(this.#streams.size > 0);
 	}
 
-	/** Sends a heartbeat if one is due on one of so many connections. */
-	beat(catalogueOffset: number, connections: number): void {
+	/** Sends a heartbeat if one is due; `connections` is the number of connections of the process. */
+	sendHeartbeatIfDue(catalogueOffset: number, connections: number): void {
 		if (this.#connection.takeHeartbeat(connections)) {
 			this.send({type: 'heartbeat', catalogueOffset});
 		}
@@ -76,7 +78,7 @@
 		this.#connection.close(reason);
 	}
 
-	/** Reads until the connection ends; every open stream is then told so. */
+	/** Reads until the connection ends, then sends `link-lost` to every open stream. */
 	* read(owner: SideLinkOwner): Body<void> {
 		for (;;) {
 			const messages = yield * receive(this.#connection.incoming);
@@ -85,7 +87,7 @@
 			}
 
 			for (const message of messages) {
-				this.#accept(message, owner);
+				this.#handleMessage(message, owner);
 			}
 		}
 
@@ -97,39 +99,39 @@
 		this.#streams.clear();
 	}
 
-	#accept(message: Message, owner: SideLinkOwner): void {
+	#handleMessage(message: Message, owner: SideLinkOwner): void {
 		if ('stream' in message) {
-			this.#route(message);
+			this.#routeFrame(message);
 			return;
 		}
 
 		if (message.type === 'state') {
 			this.state = message;
-			owner.sideSeen(this);
+			owner.sideUpdated(this);
 			return;
 		}
 
 		if (message.type === 'limit-report' || message.type === 'limit-lease' || isGatewayMessage(message)) {
-			this.close(`a side sent ${message.type}`);
+			this.close(`unexpected message from a side: ${message.type}`);
 			return;
 		}
 
 		if (message.type === 'quarantine') {
-			owner.quarantineHeard(message.records);
+			owner.quarantineReceived(message.records);
 			return;
 		}
 
 		if (message.type === 'hello') {
-			this.#greet(message);
-			owner.sideSeen(this);
+			this.#acceptHello(message);
+			owner.sideUpdated(this);
 		}
 
-		owner.peerMessage(this, message);
+		owner.peerMessageReceived(this, message);
 	}
 
-	#greet(message: MessageOf<'hello'>): void {
+	#acceptHello(message: MessageOf<'hello'>): void {
 		if (message.role !== 'side' || message.protocol !== protocolVersion || message.endpoint === undefined) {
-			this.close('no hello from a side of this protocol version');
+			this.close('the hello is not from a side of this protocol version');
 			return;
 		}
 
@@ -138,7 +140,7 @@
 		};
 	}
 
-	#route(message: StreamMessage): void {
+	#routeFrame(message: StreamMessage): void {
 		const open = this.#streams.get(message.stream);
 		if (open === undefined) {
 			this.staleFrames += 1;
@@ -147,12 +149,12 @@
 
 		if (open.request !== message.request) {
 			this.foreignFrames += 1;
-			this.close('a frame for another request');
+			this.close('a frame has the request id of another request');
 			return;
 		}
 
 		if (!tryDeliver(open.inbox, {type: 'frame', link: this, message})) {
-			this.close('more frames than the credit allows');
+			this.close('more frames than the granted credit');
 		}
 	}
 }
--- a/src/entry/slot-finder.ts
+++ b/src/entry/slot-finder.ts
@@ -8,9 +8,9 @@
 import {type EntryTelemetry} from './entry-telemetry.js';
 import {type Fleet} from './fleet.js';
 import {type RequestEvent} from './request-event.js';
-import {noEndpoint, type Slot, SlotSearch} from './slot.js';
+import {createNoEndpointFailure, type Slot, SlotSearch} from './slot.js';
 
-/** Pause before the sides are asked again when none can be used. */
+/** Pause before the next search when no endpoint can be used. */
 const noEndpointPauseMilliseconds = 100;
 
 export type SlotFinderOptions = {
@@ -19,11 +19,11 @@
 	readonly inbox: Channel<RequestEvent>;
 	readonly arrivedAt: number;
 	readonly telemetry: EntryTelemetry;
-	/** What is known of requests that crash endpoints. */
+	/** Records of requests that crash endpoints. */
 	readonly quarantine?: QuarantineLedger;
-	/** The request's one timer; set here to the end of its time in queues. */
-	readonly alarm: Alarm;
-	/** The claim of a key, which must be won before the slot counts. */
+	/** The request's only timer; set here to the end of its time in queues. */
+	readonly timer: Alarm;
+	/** The claim of the idempotency key, which must be won before the slot may be used. */
 	readonly claim?: ClaimGuard | undefined;
 };
 
@@ -34,7 +34,7 @@
 	/** The request may not run under its key; no slot is held. */
 		| {readonly type: 'claim-stopped'; readonly stop: ClaimStop};
 
-/** Finds one request a slot, attempt after attempt, within the time it may wait in queues. */
+/** Finds a slot for each attempt of one request, within the time that the request may wait in queues. */
 export class SlotFinder {
 	static create(options: SlotFinderOptions): SlotFinder {
 		return new SlotFinder(options);
@@ -42,31 +42,32 @@
 
 	readonly #options: SlotFinderOptions;
 	readonly #excluded = new Set<EndpointId>();
-	#waitsSince: number;
+	#waitStartedAt: number;
 
 	private constructor(options: SlotFinderOptions) {
 		this.#options = options;
-		this.#waitsSince = options.arrivedAt;
+		this.#waitStartedAt = options.arrivedAt;
 	}
 
-	/** When the request's time in queues is over. */
+	/** The end of the request's time in queues, on the clock of `performance.now()`. */
 	get deadline(): number {
-		return this.#waitsSince + this.#options.summary.queueMilliseconds;
+		return this.#waitStartedAt + this.#options.summary.queueMilliseconds;
 	}
 
-	/** Leaves an endpoint out of the next search. */
+	/** Excludes an endpoint from the next search. */
 	exclude(endpoint: EndpointId): void {
 		this.#excluded.add(endpoint);
 	}
 
-	/** Gives the request its class's time in queues once more. */
+	/** Restarts the request's time in queues. */
 	restartWait(): void {
-		this.#waitsSince = performance.now();
+		this.#waitStartedAt = performance.now();
 	}
 
 	/**
-	 * Searches until a side offers a slot, all have refused or time is up; `changes` go into the summary
-	 * that sides see. A slot for a keyed request is returned only once its claim is certain.
+	 * Searches until a side offers a slot, all sides have refused or the time in queues is over. `changes` are
+	 * merged into the summary that sides receive. For a request with an idempotency key, a slot is returned
+	 * only once the claim of the key is confirmed.
 	 */
 	* find(changes: Partial<RequestSummary> = {}): Body<SlotFound> {
 		const {claim} = this.#options;
@@ -77,22 +78,22 @@
 			}
 
 			const stop = yield * claim.mayStart();
-			if (!stop && performance.now() < (found.slot.startBefore ?? Infinity)) {
+			if (!stop && performance.now() < (found.slot.startDeadline ?? Infinity)) {
 				return found;
 			}
 
-			this.#giveBack(found.slot);
+			this.#withdraw(found.slot);
 			if (stop) {
 				return {type: 'claim-stopped', stop};
 			}
 
-			// Failure: the claim took longer than the side holds the slot. Symptom: the body meets a lapsed
-			// offer, and a request that may not be repeated is refused. With the claim won, a slot is sought anew.
+			// The claim took longer than the side holds the slot. A body sent now would arrive after the offer
+			// expired, and a request that may not be repeated would be refused. The claim is won, so search again.
 		}
 	}
 
-	/** A slot was offered and the body will not come. */
-	#giveBack({link, stream, endpoint}: Slot): void {
+	/** Returns an offered slot that will not be used. */
+	#withdraw({link, stream, endpoint}: Slot): void {
 		const {fleet, summary} = this.#options;
 		link.send({type: 'withdraw', stream, request: summary.id});
 		link.closeStream(stream);
@@ -100,8 +101,8 @@
 	}
 
 	* #search(changes: Partial<RequestSummary>): Body<SlotFound> {
-		const {fleet, summary, inbox, alarm, claim, telemetry} = this.#options;
-		let failure = noEndpoint();
+		const {fleet, summary, inbox, timer: alarm, claim, telemetry} = this.#options;
+		let failure = createNoEndpointFailure();
 		while (this.#queueTimeLeft() > 0) {
 			if (claim?.stop) {
 				return {type: 'claim-stopped', stop: claim.stop};
@@ -109,10 +110,10 @@
 
 			const suspicion = this.#suspicion();
 			if (suspicion === Suspicion.quarantined) {
-				return {type: 'failed', failure: quarantined()};
+				return {type: 'failed', failure: createQuarantinedFailure()};
 			}
 
-			const endpoints = suspicion === Suspicion.suspect ? this.#sideForSuspect() : this.#rank();
+			const endpoints = suspicion === Suspicion.suspect ? this.#endpointForSuspect() : this.#rank();
 			if (endpoints.length === 0) {
 				yield * sleep(noEndpointPauseMilliseconds);
 				this.#excluded.clear();
@@ -120,7 +121,7 @@
 			}
 
 			alarm.set(this.#queueTimeLeft());
-			const result = yield * SlotSearch.create({fleet, summary: {...this.#summaryNow(), ...changes}, inbox, alarm, telemetry}).run(endpoints);
+			const result = yield * SlotSearch.create({fleet, summary: {...this.#currentSummary(), ...changes}, inbox, timer: alarm, telemetry}).run(endpoints);
 			if (result.type === 'claim-stopped') {
 				continue;
 			}
@@ -130,7 +131,7 @@
 			}
 
 			failure = result.failure;
-			if (!this.#mayAskElsewhere(result.tried)) {
+			if (!this.#canTryOthers(result.tried)) {
 				break;
 			}
 		}
@@ -152,13 +153,16 @@
 		return this.#options.quarantine?.judge(this.#options.summary.fingerprint).suspicion ?? Suspicion.none;
 	}
 
-	#sideForSuspect(): readonly EndpointId[] {
+	#endpointForSuspect(): readonly EndpointId[] {
 		const endpoint = this.#options.fleet.chooseForSuspect(this.#options.summary, this.#excluded);
 		return endpoint === undefined ? [] : [endpoint];
 	}
 
-	/** After a refusal the remaining sides are asked, each once; a refusal by all is final and told at once. */
-	#mayAskElsewhere(tried: readonly EndpointId[]): boolean {
+	/**
+	 * Excludes the endpoints that were tried; true if others remain. After a refusal the remaining sides are
+	 * tried once each; when all have refused, the refusal is final and reported at once.
+	 */
+	#canTryOthers(tried: readonly EndpointId[]): boolean {
 		for (const endpoint of tried) {
 			this.#excluded.add(endpoint);
 		}
@@ -171,10 +175,10 @@
 		return this.deadline - performance.now();
 	}
 
-	/** What a side must know now: the time that is left. */
-	#summaryNow(): RequestSummary {
+	/** The summary with the time that is left until the first token and in queues. */
+	#currentSummary(): RequestSummary {
 		const {summary} = this.#options;
-		const waited = performance.now() - this.#waitsSince;
+		const waited = performance.now() - this.#waitStartedAt;
 		return {
 			...summary,
 			firstTokenMilliseconds: Math.max(0, summary.firstTokenMilliseconds - waited),
@@ -183,6 +187,6 @@
 	}
 }
 
-function quarantined(): Failure {
+function createQuarantinedFailure(): Failure {
 	return createFailure(FailureKind.quarantined, 'Endpoints that ran this request crashed; it is not run again for some minutes.');
 }
--- a/src/entry/slot.ts
+++ b/src/entry/slot.ts
@@ -9,13 +9,13 @@
 import {type RequestEvent} from './request-event.js';
 import {type SideLink} from './side-link.js';
 
-/** A slot that a side holds for this request; the body may leave for it. */
+/** A slot that a side holds for this request; the request body may be sent to it. */
 export type Slot = {
 	readonly endpoint: EndpointId;
 	readonly link: SideLink;
 	readonly stream: number;
-	/** Until when the body may leave: half of the time that the side holds the slot. */
-	readonly startBefore?: number;
+	/** The body must be sent before this time of `performance.now()`, half of the time that the side holds the slot. */
+	readonly startDeadline?: number;
 };
 
 export type SlotResult
@@ -28,14 +28,14 @@
 	readonly fleet: Fleet;
 	readonly summary: RequestSummary;
 	readonly inbox: Channel<RequestEvent>;
-	/** Set to the end of the request's time in queues. */
-	readonly alarm: Alarm;
+	/** Fires at the end of the request's time in queues. */
+	readonly timer: Alarm;
 	readonly telemetry: EntryTelemetry;
 };
 
 /**
- * Late binding: the request waits at several sides at once and runs at the first that has a free
- * slot; the others get their reservation back. No body leaves before that, so giving up here is
+ * Late binding: the request queues at several sides at once and runs at the first that offers a free
+ * slot; the other reservations are withdrawn. No request body is sent before that, so a failure here is
  * certain to be `not-run`.
  */
 export class SlotSearch {
@@ -43,30 +43,30 @@
 		return new SlotSearch(options);
 	}
 
-	readonly #open = new Map<string, Slot>();
+	readonly #reservations = new Map<string, Slot>();
 	readonly #tried: EndpointId[] = [];
-	#refusal: Failure | undefined;
+	#lastRefusal: Failure | undefined;
 	readonly #options: SlotSearchOptions;
 
 	private constructor(options: SlotSearchOptions) {
 		this.#options = options;
 	}
 
-	/** Reserves at the endpoints, in order, and waits until one offers a slot or all have refused. */
+	/** Sends reservations to the endpoints, in order, and waits until one offers a slot or all have refused. */
 	* run(endpoints: readonly EndpointId[]): Body<SlotResult> {
 		for (const [index, endpoint] of endpoints.entries()) {
 			this.#reserve(endpoint, index === 0);
 		}
 
-		while (this.#open.size > 0) {
+		while (this.#reservations.size > 0) {
 			const event = yield * receive(this.#options.inbox);
-			const result = this.#take(event ?? {type: 'caller-left'});
+			const result = this.#handleEvent(event ?? {type: 'caller-left'});
 			if (result !== undefined) {
 				return result;
 			}
 		}
 
-		return {type: 'failed', failure: this.#refusal ?? noEndpoint(), tried: this.#tried};
+		return {type: 'failed', failure: this.#lastRefusal ?? createNoEndpointFailure(), tried: this.#tried};
 	}
 
 	#reserve(endpoint: EndpointId, asksFirst: boolean): void {
@@ -78,7 +78,7 @@
 
 		const stream = link.openStream(this.#options.summary.id, this.#options.inbox);
 		const slot = {endpoint, link, stream};
-		this.#open.set(keyOf(link, stream), slot);
+		this.#reservations.set(reservationKey(link, stream), slot);
 		link.send({type: 'reserve', stream, request: this.#options.summary.id, summary: {...this.#options.summary, asksFirst}});
 		this.#options.fleet.observe({type: 'reserved', endpoint, request: this.#options.summary.id});
 		this.#record(ReasonCode.reserved, {endpoint});
@@ -88,10 +88,10 @@
 		this.#options.telemetry.record(this.#options.summary.id, code, detail);
 	}
 
-	#take(event: RequestEvent): SlotResult | undefined {
+	#handleEvent(event: RequestEvent): SlotResult | undefined {
 		switch (event.type) {
 			case 'frame': {
-				return this.#takeFrame(event.link, event.message);
+				return this.#handleFrame(event.link, event.message);
 			}
 
 			case 'link-lost': {
@@ -110,7 +110,7 @@
 			}
 
 			case 'alarm': {
-				if (!this.#options.alarm.hasFired) {
+				if (!this.#options.timer.hasFired) {
 					return undefined;
 				}
 
@@ -120,8 +120,8 @@
 		}
 	}
 
-	#takeFrame(link: SideLink, message: StreamMessage): SlotResult | undefined {
-		const slot = this.#open.get(keyOf(link, message.stream));
+	#handleFrame(link: SideLink, message: StreamMessage): SlotResult | undefined {
+		const slot = this.#reservations.get(reservationKey(link, message.stream));
 		if (slot === undefined) {
 			return undefined;
 		}
@@ -129,13 +129,13 @@
 		if (message.type === 'offer') {
 			this.#options.fleet.observe({type: 'offered', endpoint: slot.endpoint, request: this.#options.summary.id});
 			this.#record(ReasonCode.offered, {endpoint: slot.endpoint});
-			this.#open.delete(keyOf(link, message.stream));
+			this.#reservations.delete(reservationKey(link, message.stream));
 			this.#withdrawAll();
-			return {type: 'slot', slot: {...slot, startBefore: performance.now() + (message.holdMilliseconds / 2)}};
+			return {type: 'slot', slot: {...slot, startDeadline: performance.now() + (message.holdMilliseconds / 2)}};
 		}
 
 		if (message.type === 'refuse' || message.type === 'fail') {
-			this.#refusal = {
+			this.#lastRefusal = {
 				kind: message.kind, message: message.message, verdict: 'not-run', retryAfterMilliseconds: message.retryAfterMilliseconds,
 			};
 			this.#record(ReasonCode.refused, {endpoint: slot.endpoint, reason: message.kind, message: message.message});
@@ -146,32 +146,32 @@
 	}
 
 	#withdrawAll(): void {
-		for (const slot of this.#open.values()) {
+		for (const slot of this.#reservations.values()) {
 			slot.link.send({type: 'withdraw', stream: slot.stream, request: this.#options.summary.id});
 			this.#close(slot, 'withdrawn');
 		}
 	}
 
 	#dropLink(link: SideLink): void {
-		for (const slot of this.#open.values()) {
+		for (const slot of this.#reservations.values()) {
 			if (slot.link === link) {
 				this.#close(slot, 'withdrawn');
 			}
 		}
 	}
 
-	#close(slot: Slot, how: 'refused' | 'withdrawn'): void {
+	#close(slot: Slot, outcome: 'refused' | 'withdrawn'): void {
 		slot.link.closeStream(slot.stream);
-		this.#open.delete(keyOf(slot.link, slot.stream));
-		this.#options.fleet.observe({type: how, endpoint: slot.endpoint, request: this.#options.summary.id});
+		this.#reservations.delete(reservationKey(slot.link, slot.stream));
+		this.#options.fleet.observe({type: outcome, endpoint: slot.endpoint, request: this.#options.summary.id});
 	}
 }
 
-function keyOf(link: SideLink, stream: number): string {
+function reservationKey(link: SideLink, stream: number): string {
 	return `${link.identity?.endpoint ?? ''}:${stream}`;
 }
 
-/** The failure when no side that serves the target can be reached. */
-export function noEndpoint(): Failure {
+/** The failure of a request for which no side that serves its target can be reached. */
+export function createNoEndpointFailure(): Failure {
 	return createFailure(FailureKind.noEndpoint, 'No endpoint serves this target now.', {retryAfterMilliseconds: 1000});
 }
--- a/test/entry/answers.test.ts
+++ b/test/entry/answers.test.ts
@@ -5,45 +5,45 @@
 import OpenAI, {APIError} from 'openai';
 import tap from 'tap';
 import {createFailure, FailureKind, type RequestError, Verdict} from '../../src/model/index.js';
-import {readBody, sendFailure, StreamAnswer, WholeAnswer} from '../../src/entry/protocol/index.js';
+import {readBody, sendFailure, StreamingResponse, BufferedResponse} from '../../src/entry/protocol/index.js';
 
 type Handle = (request: IncomingMessage, response: ServerResponse) => unknown;
-type Serving = AsyncDisposable & {url: string; port: number};
+type TestServer = AsyncDisposable & {url: string; port: number};
 
-async function serve(handle: Handle): Promise<Serving> {
-	const server: Server = createServer((request, response) => {
+async function serve(handle: Handle): Promise<TestServer> {
+	const httpServer: Server = createServer((request, response) => {
 		void handle(request, response);
 	}).listen(0, '127.0.0.1');
-	await once(server, 'listening');
-	const {port} = server.address() as AddressInfo;
+	await once(httpServer, 'listening');
+	const {port} = httpServer.address() as AddressInfo;
 	return {
 		port,
 		url: `http://127.0.0.1:${port}`,
 		async [Symbol.asyncDispose]() {
-			server.close();
-			server.closeAllConnections();
-			await once(server, 'close');
+			httpServer.close();
+			httpServer.closeAllConnections();
+			await once(httpServer, 'close');
 		},
 	};
 }
 
-const chunkOf = (choice: Record<string, unknown>) => JSON.stringify({id: 'r1', object: 'chat.completion.chunk', created: 7, model: 'loom', choices: [{index: 0, ...choice}]});
-const chunk = (delta: Record<string, unknown>, finish?: string) => chunkOf({delta, finish_reason: finish});
+const createChunk = (choice: Record<string, unknown>) => JSON.stringify({id: 'r1', object: 'chat.completion.chunk', created: 7, model: 'loom', choices: [{index: 0, ...choice}]});
+const deltaChunk = (delta: Record<string, unknown>, finish?: string) => createChunk({delta, finish_reason: finish});
 const usage = JSON.stringify({id: 'r1', object: 'chat.completion.chunk', created: 7, model: 'loom', choices: [], usage: {prompt_tokens: 1, completion_tokens: 2, total_tokens: 3}});
-const lost = createFailure(FailureKind.endpointLost, 'The endpoint went away.', {verdict: Verdict.mayHaveRun});
-const ask = {model: 'loom', messages: [{role: 'user' as const, content: 'hem'}]};
-const client = (serving: Serving) => new OpenAI({apiKey: 'k', baseURL: `${serving.url}/v1`});
+const endpointLost = createFailure(FailureKind.endpointLost, 'The endpoint went away.', {verdict: Verdict.mayHaveRun});
+const chatRequest = {model: 'loom', messages: [{role: 'user' as const, content: 'hem'}]};
+const createClient = (server: TestServer) => new OpenAI({apiKey: 'k', baseURL: `${server.url}/v1`});
 
-tap.test('a stock client reads a streamed answer, with usage only when it asked', async t => {
+tap.test('a standard client reads a streamed response, with usage only if requested', async t => {
 	for (const includeUsage of [true, false]) {
-		await using serving = await serve((_, response) => {
-			const answer = StreamAnswer.create(response, {requestId: 'r1', includeUsage});
-			t.notOk(answer.started);
-			answer.write([chunk({role: 'assistant', content: 'one'}), chunk({content: ' two'}, 'stop')]);
-			t.ok(answer.started);
-			answer.finish(usage);
+		await using server = await serve((_, response) => {
+			const writer = StreamingResponse.create(response, {requestId: 'r1', includeUsage});
+			t.notOk(writer.hasStarted);
+			writer.write([deltaChunk({role: 'assistant', content: 'one'}), deltaChunk({content: ' two'}, 'stop')]);
+			t.ok(writer.hasStarted);
+			writer.finish(usage);
 		});
-		const {data, response} = await client(serving).chat.completions.create({...ask, stream: true}).withResponse();
+		const {data, response} = await createClient(server).chat.completions.create({...chatRequest, stream: true}).withResponse();
 		const chunks = [];
 		for await (const event of data) {
 			chunks.push(event);
@@ -55,19 +55,19 @@
 	}
 });
 
-tap.test('a whole answer joins text, tool calls, log probabilities and usage', async t => {
-	await using serving = await serve((_, response) => {
-		const answer = WholeAnswer.create(response, {requestId: 'r1', kind: 'chat'});
-		answer.write([
-			chunk({role: 'assistant', content: 'st'}),
-			chunk({content: 'itch', tool_calls: [{index: 0, id: 'c1', type: 'function', function: {name: 'cut', arguments: '{"a"'}}]}),
-			chunk({tool_calls: [{index: 0, function: {arguments: ':1}'}}, {index: 1, id: 'c2', type: 'function', function: {name: 'sew', arguments: '{}'}}]}, 'tool_calls'),
+tap.test('a buffered response joins text, tool calls and usage', async t => {
+	await using server = await serve((_, response) => {
+		const writer = BufferedResponse.create(response, {requestId: 'r1', kind: 'chat'});
+		writer.write([
+			deltaChunk({role: 'assistant', content: 'st'}),
+			deltaChunk({content: 'itch', tool_calls: [{index: 0, id: 'c1', type: 'function', function: {name: 'cut', arguments: '{"a"'}}]}),
+			deltaChunk({tool_calls: [{index: 0, function: {arguments: ':1}'}}, {index: 1, id: 'c2', type: 'function', function: {name: 'sew', arguments: '{}'}}]}, 'tool_calls'),
 		]);
-		answer.finish(usage);
+		writer.finish(usage);
 	});
-	const answer = await client(serving).chat.completions.create(ask);
-	t.match(answer, {id: 'r1', object: 'chat.completion', created: 7, model: 'loom', usage: {total_tokens: 3}});
-	t.match(answer.choices[0], {finish_reason: 'tool_calls', message: {
+	const writer = await createClient(server).chat.completions.create(chatRequest);
+	t.match(writer, {id: 'r1', object: 'chat.completion', created: 7, model: 'loom', usage: {total_tokens: 3}});
+	t.match(writer.choices[0], {finish_reason: 'tool_calls', message: {
 		role: 'assistant', content: 'stitch', tool_calls: [
 			{id: 'c1', type: 'function', function: {name: 'cut', arguments: '{"a":1}'}},
 			{id: 'c2', function: {name: 'sew', arguments: '{}'}},
@@ -75,72 +75,72 @@
 	}});
 });
 
-tap.test('a completion is joined as text', async t => {
-	await using serving = await serve((_, response) => {
-		const answer = WholeAnswer.create(response, {requestId: 'r1', kind: 'completion'});
-		answer.write(['{"id":"r1","choices":[{"index":0,"text":"on"}]}', '{"id":"r1","choices":[{"index":0,"text":"e","finish_reason":"length"}]}']);
-		answer.finish();
+tap.test('a buffered completion is joined as text', async t => {
+	await using server = await serve((_, response) => {
+		const writer = BufferedResponse.create(response, {requestId: 'r1', kind: 'completion'});
+		writer.write(['{"id":"r1","choices":[{"index":0,"text":"on"}]}', '{"id":"r1","choices":[{"index":0,"text":"e","finish_reason":"length"}]}']);
+		writer.finish();
 	});
-	t.match(await client(serving).completions.create({model: 'loom', prompt: 'x'}), {object: 'text_completion', choices: [{text: 'one', finish_reason: 'length'}]});
+	t.match(await createClient(server).completions.create({model: 'loom', prompt: 'x'}), {object: 'text_completion', choices: [{text: 'one', finish_reason: 'length'}]});
 });
 
-tap.test('a failure before the first byte is a status with verdict and advice when to come back', async t => {
-	await using serving = await serve((_, response) => {
-		const answer = StreamAnswer.create(response, {requestId: 'r1', includeUsage: false});
-		answer.fail(createFailure(FailureKind.queueFull, 'The queue is full.', {retryAfterMilliseconds: 1200}));
+tap.test('a failure before the first byte is sent as a status with the verdict and the retry delay', async t => {
+	await using server = await serve((_, response) => {
+		const writer = StreamingResponse.create(response, {requestId: 'r1', includeUsage: false});
+		writer.fail(createFailure(FailureKind.queueFull, 'The queue is full.', {retryAfterMilliseconds: 1200}));
 	});
-	const response = await fetch(serving.url);
+	const response = await fetch(server.url);
 	t.equal(response.status, 429);
 	t.match(Object.fromEntries(response.headers), {'cassiaflow-request-id': 'r1', 'cassiaflow-verdict': 'not-run', 'retry-after': '2', 'retry-after-ms': '1200'});
 	t.match(await response.json(), {error: {message: 'The queue is full.', type: 'rate_limit_error', code: 'queue_full', verdict: 'not-run', request_id: 'r1'}});
 });
 
-tap.test('a stock client does not repeat what may have run', async t => {
-	// The caller sees one error that says may-have-run. Stock clients send again after a 502 by
-	// themselves; a kitchen ticket sent twice is printed twice, so the answer forbids it.
+tap.test('a standard client does not retry a request that may have run', async t => {
+	// Standard clients retry automatically after a 502, and the request would run twice. The response
+	// therefore forbids the retry, and the caller gets one error with the verdict may-have-run.
 	let calls = 0;
-	await using serving = await serve((_, response) => {
+	await using server = await serve((_, response) => {
 		calls++;
-		sendFailure(response, lost, 'r1');
+		sendFailure(response, endpointLost, 'r1');
 	});
-	const error: unknown = await client(serving).chat.completions.create(ask).catch((error_: unknown) => error_);
+	const error: unknown = await createClient(server).chat.completions.create(chatRequest).catch((error_: unknown) => error_);
 	t.ok(error instanceof APIError);
 	t.match(error, {status: 502, code: 'endpoint_lost', error: {verdict: 'may-have-run'}});
 	t.equal(calls, 1);
 });
 
-tap.test('a failure after the first byte is an error event and no clean end', async t => {
-	// The caller has read one token when the endpoint goes away. It gets an error event with the
-	// verdict, then its connection breaks: neither a stock client nor a plain reader takes the half
-	// answer for a whole one.
-	await using serving = await serve((_, response) => {
-		const answer = StreamAnswer.create(response, {requestId: 'r1', includeUsage: false});
-		answer.write([chunk({content: 'one'})]);
-		answer.fail(lost);
-		answer.finish();
+tap.test('a failure after the first byte is an error event without a clean end', async t => {
+	// The endpoint is lost after the caller has read one token. The caller gets an error event with the verdict, and
+	// its connection is closed, so that neither a standard client nor a plain HTTP reader takes the partial
+	// response for a complete one.
+	await using server = await serve((_, response) => {
+		const writer = StreamingResponse.create(response, {requestId: 'r1', includeUsage: false});
+		writer.write([deltaChunk({content: 'one'})]);
+		writer.fail(endpointLost);
+		writer.finish();
 	});
-	const stream = await client(serving).chat.completions.create({...ask, stream: true});
+	const stream = await createClient(server).chat.completions.create({...chatRequest, stream: true});
 	const texts: string[] = [];
 	const error: unknown = await readAll(stream, texts).catch((error_: unknown) => error_);
 	t.match(error, {error: {code: 'endpoint_lost', verdict: 'may-have-run'}});
 	t.same(texts, ['one']);
-	const plain = await fetch(serving.url);
+	const plain = await fetch(server.url);
 	await t.rejects(plain.text(), 'the body has no clean end');
 });
 
-tap.test('a caller that is a moment behind still gets the verdict', async t => {
-	// Found by the soak, seeds 12 and 108: the caller reads a token and is busy for a moment. Meanwhile
-	// the endpoint is lost, the error event goes out and the connection is cut at once; the caller's
-	// HTTP library then drops what it had not handed over, and the answer breaks off without a word.
-	await using serving = await serve((_, response) => {
-		const answer = StreamAnswer.create(response, {requestId: 'r1', includeUsage: false});
-		answer.write([chunk({content: 'one'})]);
+tap.test('a caller that reads with a short delay still gets the verdict', async t => {
+	// The caller reads a token and is busy briefly (soak seeds 12 and 108). Meanwhile the endpoint is lost and the
+	// error event is sent. If the connection was closed at once, the caller's HTTP library would discard its
+	// buffer, and the response would end without a verdict.
+	await using server = await serve((_, response) => {
+		const writer = StreamingResponse.create(response, {requestId: 'r1', includeUsage: false});
+		writer.write([deltaChunk({content: 'one'})]);
 		setTimeout(() => {
-			answer.fail(lost);
+			writer.fail(endpointLost);
 		}, 20);
 	});
 	const response = await new Promise<IncomingMessage>(resolve => {
-		get(serving.url, resolve);
+		get(server.url, resolve);
 	});
 	let text = '';
 	response.setEncoding('utf8');
@@ -154,31 +154,31 @@
 	t.match(text, '"verdict":"may-have-run"');
 });
 
-tap.test('a slow caller is reported, and waiting for it ends when it leaves', async t => {
-	// The caller sends a request and reads nothing: once the kernel's buffers are full, the answer says
-	// that it is slow. Then it leaves, and whoever waits for it goes on instead of waiting for ever.
+tap.test('a slow caller is detected, and waiting for it ends when it leaves', async t => {
+	// The caller sends a request and reads nothing: once the kernel's buffers are full, `write` returns false.
+	// Then the caller closes its connection, and `drained` must resolve instead of waiting forever.
 	const events = new EventTarget();
 	const waited = once(events, 'drained');
-	await using serving = await serve(async (_, response) => {
-		const answer = StreamAnswer.create(response, {requestId: 'r1', includeUsage: false});
+	await using server = await serve(async (_, response) => {
+		const writer = StreamingResponse.create(response, {requestId: 'r1', includeUsage: false});
 		let writes = 0;
-		while (answer.write(['x'.repeat(1_000_000)]) && writes < 100) {
+		while (writer.write(['x'.repeat(1_000_000)]) && writes < 100) {
 			writes++;
 		}
 
-		t.ok(writes < 100, 'the answer said that the caller is slow');
+		t.ok(writes < 100, 'write reported that the caller is slow');
 		caller.destroy();
-		await answer.drained();
+		await writer.drained();
 		events.dispatchEvent(new Event('drained'));
 	});
-	const caller = connect(serving.port, '127.0.0.1').pause();
+	const caller = connect(server.port, '127.0.0.1').pause();
 	caller.write('GET / HTTP/1.1\r\nHost: x\r\n\r\n');
 	await waited;
 	t.pass('the wait ended');
 });
 
-tap.test('an oversized body is refused with a readable answer, announced or not', async t => {
-	await using serving = await serve(async (request, response) => {
+tap.test('an oversized body is refused with a readable response, with or without a Content-Length', async t => {
+	await using server = await serve(async (request, response) => {
 		try {
 			const body = await readBody(request, 1000);
 			response.end(String(body.length));
@@ -187,7 +187,7 @@
 		}
 	});
 	const post = async (body: string | ReadableStream<Uint8Array>) => {
-		const response = await fetch(serving.url, {method: 'POST', body, duplex: 'half'});
+		const response = await fetch(server.url, {method: 'POST', body, duplex: 'half'});
 		return {status: response.status, text: await response.text()};
 	};
 
--- a/test/entry/limiter.test.ts
+++ b/test/entry/limiter.test.ts
@@ -7,10 +7,10 @@
 import {change, fold, put, sampleClass, sampleWorkspace, stream} from '../catalogue/sample.js';
 
 const limits = {concurrency: 8};
-const chart = {...sampleClass('andino', 'chart'), limits};
+const chartClass = {...sampleClass('andino', 'chart'), limits};
 
 function createCatalogue(): Catalogue {
-	return fold(stream(change(put(sampleWorkspace('andino')[0]!), put(chart))));
+	return fold(stream(change(put(sampleWorkspace('andino')[0]!), put(chartClass))));
 }
 
 async function createLimiters(count: number) {
@@ -46,9 +46,9 @@
 	await Promise.all(limiters.map(async limiter => limiter[Symbol.asyncDispose]()));
 }
 
-tap.test('an entry that gets all the traffic is leased the whole limit, and no more', async t => {
-	// The callers of one class all meet one of four entries. At first it admits its even share of two
-	// and refuses; each report shows the keeper what it refused, and the share grows to all eight.
+tap.test('an entry that gets all the traffic of a class is leased the full limit, and no more', async t => {
+	// All requests of one class arrive at one of four entries. At first it admits its even share of two and
+	// refuses the rest; each report tells the allocator what was refused, and the share grows to all eight.
 	const {limiters} = await createLimiters(4);
 	let running = 0;
 	for (let attempt = 0; attempt < 200 && running < 8; attempt++) {
@@ -59,7 +59,7 @@
 	t.equal(running, 8);
 	await delay(1200);
 	for (const limiter of limiters) {
-		t.equal(await admitAll(limiter), 0, 'what runs is held, also against entries that see the class later');
+		t.equal(await admitAll(limiter), 0, 'running requests keep their share, also from entries that the class reaches later');
 	}
 
 	limiters[0]!.finish('andino/chart');
@@ -72,17 +72,17 @@
 	await dispose(limiters);
 });
 
-tap.test('with no keeper in reach each entry keeps to its even share', async t => {
-	// The addresses of all other entries are dead, as after the loss of an availability zone that the
-	// membership list does not know of yet. The caller gets a quarter of the limit, and never nothing.
+tap.test('an entry that cannot reach the allocator uses its even share', async t => {
+	// The addresses of all other entries are unreachable, as after the loss of an availability zone that is not in
+	// the membership list yet. The entry admits a quarter of the limit instead of refusing all requests.
 	const {limiters, entries} = await createLimiters(1);
 	const others = Array.from({length: 20}, (_, index) => `entry-${index + 1}`);
-	const keeper = others.find(name => rankByRendezvous('andino/chart', [name, 'entry-0'])[0] === name)!;
-	for (const name of [keeper, ...others.filter(other => other !== keeper)].slice(0, 3)) {
+	const allocator = others.find(name => rankByRendezvous('andino/chart', [name, 'entry-0'])[0] === name)!;
+	for (const name of [allocator, ...others.filter(other => other !== allocator)].slice(0, 3)) {
 		entries.set(name, '127.0.0.1:1');
 	}
 
-	t.not(rankByRendezvous('andino/chart', entries.keys())[0], 'entry-0', 'another entry is the keeper');
+	t.not(rankByRendezvous('andino/chart', entries.keys())[0], 'entry-0', 'another entry is the allocator');
 	t.equal(await admitAll(limiters[0]!), 2);
 	await dispose(limiters);
 });
--- a/test/entry/requests.test.ts
+++ b/test/entry/requests.test.ts
@@ -21,7 +21,7 @@
 	}
 }
 
-tap.test('each path and method has one route or one clear refusal', async t => {
+tap.test('each path and method has one route or one specific refusal', async t => {
 	t.same(routeCall('POST', '/v1/chat/completions?x=1'), chat);
 	t.same(routeCall('GET', '/v1/models'), {type: 'models'});
 	t.same(routeCall('PATCH', '/services/kitchen/tickets/7?urgent=1'), {type: 'service', name: 'kitchen', path: '/tickets/7?urgent=1'});
@@ -41,7 +41,7 @@
 	}
 });
 
-tap.test('a body is rewritten for the engine and keeps fields that are not known here', async t => {
+tap.test('a request body is rewritten for the engine and keeps unknown fields', async t => {
 	const call = parseModelCall(chat, encode({model: 'loom', messages: [{role: 'user', content: 'hem'}], seed: 3, stream_options: {other: 1}, max_tokens: 9}));
 	t.match(call, {model: 'loom', stream: false, includeUsage: false, maxTokens: 9, promptTokens: 2});
 	t.same(decode(call.body), {model: 'loom', messages: [{role: 'user', content: 'hem'}], seed: 3, stream: true, stream_options: {other: 1, include_usage: true}, max_tokens: 9});
@@ -49,7 +49,7 @@
 	t.match(prompt, {stream: true, includeUsage: true});
 });
 
-tap.test('requests share a prefix by model and leading text, and a fingerprint only when they are the same', async t => {
+tap.test('the prefix depends on the model and the leading text, the fingerprint on the complete request', async t => {
 	const long = 'system prompt '.repeat(100);
 	const ask = (model: string, text: string) => parseModelCall(chat, encode({model, messages: [{role: 'system', content: long}, {role: 'user', content: text}]}));
 	t.equal(ask('loom', 'one').prefix, ask('loom', 'two').prefix);
@@ -58,9 +58,9 @@
 	t.not(ask('loom', 'one').fingerprintSource, ask('loom', 'two').fingerprintSource);
 });
 
-tap.test('a wrong body is refused with the field that is wrong, and without its text', async t => {
+tap.test('an invalid request body is refused with the name of the invalid field, and without its content', async t => {
 	const good = {model: 'loom', messages: [{role: 'user', content: 'secret artwork'}]};
-	const wrong: Array<[unknown, RegExp]> = [
+	const invalid: Array<[unknown, RegExp]> = [
 		[{...good, n: 2}, /n: only 1/v],
 		[{...good, model: undefined}, /model/v],
 		[{...good, messages: []}, /messages/v],
@@ -69,7 +69,7 @@
 		[{...good, stream: 'secret artwork'}, /stream/v],
 		[[], /body/v],
 	];
-	for (const [value, message] of wrong) {
+	for (const [value, message] of invalid) {
 		const failure = failureOf(() => parseModelCall(chat, encode(value)));
 		t.match(failure, {kind: 'bad_request', message});
 		t.notMatch(failure?.message, /secret/v);
@@ -79,9 +79,9 @@
 	t.match(failureOf(() => parseModelCall(completion, encode({model: 'loom', prompt: ['a', 'b']}))), {message: /prompt: one text/v});
 });
 
-tap.test('fuzz: whatever arrives, the parser answers with a call or a refusal', async t => {
-	const nearly = fc.record({model: fc.anything(), messages: fc.anything(), prompt: fc.anything(), stream: fc.anything(), stream_options: fc.anything(), n: fc.anything()}, {requiredKeys: []});
-	const bodies = fc.oneof(fc.uint8Array({maxLength: 200}), fc.json().map(text => new TextEncoder().encode(text)), nearly.map(value => encodeAnything(value)));
+tap.test('fuzz: for any input, the parser returns a call or a refusal', async t => {
+	const almostValid = fc.record({model: fc.anything(), messages: fc.anything(), prompt: fc.anything(), stream: fc.anything(), stream_options: fc.anything(), n: fc.anything()}, {requiredKeys: []});
+	const bodies = fc.oneof(fc.uint8Array({maxLength: 200}), fc.json().map(text => new TextEncoder().encode(text)), almostValid.map(value => encodeAnything(value)));
 	fc.assert(fc.property(bodies, fc.constantFrom(chat, completion), (body, route) => {
 		const failure = failureOf(() => parseModelCall(route, body));
 		return failure === undefined || failure.kind === 'bad_request';
@@ -90,7 +90,7 @@
 		const failure = failureOf(() => routeCall(method, path));
 		return failure === undefined || ['bad_request', 'unknown_path', 'method_not_allowed'].includes(failure.kind);
 	}), {seed: 4, numRuns: 2000});
-	t.pass('no other error came up');
+	t.pass('no other error was thrown');
 });
 
 function encodeAnything(value: unknown): Uint8Array {
