--- a/src/entry/claims/claim-guard.ts
+++ b/src/entry/claims/claim-guard.ts
@@ -21,7 +21,7 @@
 	static create(manager: ClaimManager, request: ClaimRequest, onStop: () => void): ClaimGuard {
 		const guard = new ClaimGuard(manager);
 		guard.#outcome = manager.claim(request).then(outcome => {
-			guard.#stop = stopOf(outcome);
+			guard.#stop = toClaimStop(outcome);
 			if (guard.#stop) {
 				onStop();
 			}
@@ -34,7 +34,7 @@
 	readonly #manager: ClaimManager;
 	#outcome!: Promise<ClaimOutcome>;
 	#stop: ClaimStop | undefined;
-	#started = false;
+	#isStarted = false;
 
 	private constructor(manager: ClaimManager) {
 		this.#manager = manager;
@@ -56,7 +56,7 @@
 			return {type: 'failed', failure: createFailure(FailureKind.claimUnavailable, 'The claim of the key could not be confirmed.')};
 		}
 
-		this.#started = true;
+		this.#isStarted = true;
 		return undefined;
 	}
 
@@ -78,13 +78,13 @@
 			return verdict;
 		}
 
-		const released = yield * wait(Promise.race([this.#release(), releaseTimeout()]));
-		return released ? Verdict.notRun : Verdict.mayHaveRun;
+		const isReleased = yield * wait(Promise.race([this.#release(), releaseTimeout()]));
+		return isReleased ? Verdict.notRun : Verdict.mayHaveRun;
 	}
 
 	/** The caller left; releases the key unless the request body may have been sent. */
 	abandoned(): void {
-		if (!this.#started) {
+		if (!this.#isStarted) {
 			void this.#release();
 		}
 	}
@@ -104,7 +104,7 @@
 	});
 }
 
-function stopOf(outcome: ClaimOutcome): ClaimStop | undefined {
+function toClaimStop(outcome: ClaimOutcome): ClaimStop | undefined {
 	switch (outcome.type) {
 		case 'won': {
 			return undefined;
--- a/src/entry/claims/commands.ts
+++ b/src/entry/claims/commands.ts
@@ -12,7 +12,7 @@
 /** Commands from the claim manager to a partition. Deadlines are times of the manager's monotonic clock. */
 export type Command
 	= | {readonly type: 'claim'; readonly item: ClaimItem & {type: 'claim'}; readonly key: ClaimKey; readonly deadline: number; settle(result: CommandResult): void}
-		| {readonly type: 'release'; readonly item: ClaimItem & {type: 'release'}; readonly deadline: number; settle(kept: boolean): void}
+		| {readonly type: 'release'; readonly item: ClaimItem & {type: 'release'}; readonly deadline: number; settle(isAppended: boolean): void}
 		| {readonly type: 'finish'; readonly item: ClaimItem & {type: 'finish'}; readonly deadline: number}
 	/** Reads to the end of the stream and reports the holder of the key. */
 		| {readonly type: 'confirm'; readonly key: ClaimKey; readonly deadline: number; settle(result: CommandResult): void};
--- a/src/entry/fleet.ts
+++ b/src/entry/fleet.ts
@@ -203,9 +203,9 @@
 			link.send({
 				type: 'hello', protocol: protocolVersion, role: 'entry', instance: this.#options.instance, zone: this.#options.zone, catalogueOffset: this.#options.catalogueOffset(),
 			});
-			const known = this.#options.quarantine?.records() ?? [];
-			if (known.length > 0) {
-				link.send({type: 'quarantine', records: [...known]});
+			const records = this.#options.quarantine?.records() ?? [];
+			if (records.length > 0) {
+				link.send({type: 'quarantine', records: [...records]});
 			}
 
 			if (this.#closed) {
--- a/src/entry/slot-finder.ts
+++ b/src/entry/slot-finder.ts
@@ -101,7 +101,7 @@
 	}
 
 	* #search(changes: Partial<RequestSummary>): Body<SlotFound> {
-		const {fleet, summary, inbox, timer: alarm, claim, telemetry} = this.#options;
+		const {fleet, summary, inbox, timer, claim, telemetry} = this.#options;
 		let failure = createNoEndpointFailure();
 		while (this.#queueTimeLeft() > 0) {
 			if (claim?.stop) {
@@ -120,8 +120,8 @@
 				continue;
 			}
 
-			alarm.set(this.#queueTimeLeft());
-			const result = yield * SlotSearch.create({fleet, summary: {...this.#currentSummary(), ...changes}, inbox, timer: alarm, telemetry}).run(endpoints);
+			timer.set(this.#queueTimeLeft());
+			const result = yield * SlotSearch.create({fleet, summary: {...this.#currentSummary(), ...changes}, inbox, timer, telemetry}).run(endpoints);
 			if (result.type === 'claim-stopped') {
 				continue;
 			}
--- a/test/entry/requests.test.ts
+++ b/test/entry/requests.test.ts
@@ -51,11 +51,11 @@
 
 tap.test('the prefix depends on the model and the leading text, the fingerprint on the complete request', async t => {
 	const long = 'system prompt '.repeat(100);
-	const ask = (model: string, text: string) => parseModelCall(chat, encode({model, messages: [{role: 'system', content: long}, {role: 'user', content: text}]}));
-	t.equal(ask('loom', 'one').prefix, ask('loom', 'two').prefix);
-	t.not(ask('loom', 'one').prefix, ask('other', 'one').prefix);
-	t.equal(ask('loom', 'one').fingerprintSource, ask('loom', 'one').fingerprintSource);
-	t.not(ask('loom', 'one').fingerprintSource, ask('loom', 'two').fingerprintSource);
+	const parse = (model: string, text: string) => parseModelCall(chat, encode({model, messages: [{role: 'system', content: long}, {role: 'user', content: text}]}));
+	t.equal(parse('loom', 'one').prefix, parse('loom', 'two').prefix);
+	t.not(parse('loom', 'one').prefix, parse('other', 'one').prefix);
+	t.equal(parse('loom', 'one').fingerprintSource, parse('loom', 'one').fingerprintSource);
+	t.not(parse('loom', 'one').fingerprintSource, parse('loom', 'two').fingerprintSource);
 });
 
 tap.test('an invalid request body is refused with the name of the invalid field, and without its content', async t => {
