--- a/src/policy/limits/index.ts
+++ b/src/policy/limits/index.ts
@@ -1,8 +1,8 @@
-/** Fleet-wide limits of a class by leased shares; pure decisions of entries and of the keeper. */
+/** Fleet-wide limits of a class, enforced through leased shares: the pure decisions of the limiter of each entry and of the allocator. */
 export type {Demand, Lease, LimitKind, Limits} from './types.js';
 export {
-	createAllocator, keeperSettings, grantLease, travelMilliseconds, type KeeperSettings, type AllocatorState,
-} from './keeper.js';
+	allocatorSettings, createAllocator, deliveryMarginMilliseconds, grantLease, type AllocatorSettings, type AllocatorState,
+} from './allocator.js';
 export {
-	admit, createLimiter, evenShare, finish, lacksLease, reportIntervalMilliseconds, spendTokens, applyLease, createReport, type LimiterDecision, type LimiterState, type FleetPosition,
-} from './local.js';
+	admit, applyLease, createLimiter, createReport, evenShare, finish, lacksLease, reportIntervalMilliseconds, spendTokens, type FleetPosition, type LimiterDecision, type LimiterState,
+} from './limiter.js';
--- a/src/policy/sharing/index.ts
+++ b/src/policy/sharing/index.ts
@@ -1,4 +1,4 @@
-/** Whom an instance talks to, and how often it asks the store. */
+/** Which peers an instance connects to, and how often it polls the store. */
 export * from './neighbours.js';
-export * from './reading-pace.js';
+export * from './polling.js';
 export * from './view.js';
--- a/test/policy/sharing.test.ts
+++ b/test/policy/sharing.test.ts
@@ -1,7 +1,10 @@
 import fc from 'fast-check';
 import tap from 'tap';
 import {type ZoneName} from '../../src/model/index.js';
-import {endpointPollInterval, instancePollInterval, largestMesh, largestZoneMesh, type Member, type Neighbours, neighboursOf, pollRetryDelay, routingLongPollWait, visibleRequestShare} from '../../src/policy/sharing/index.js';
+import {
+	endpointPollInterval, instancePollInterval, maxMeshInstances, maxZoneMeshInstances, type Member,
+	type Neighbours, neighboursOf, pollRetryDelay, routingLongPollWait, visibleRequestShare,
+} from '../../src/policy/sharing/index.js';
 
 function fleet(count: number, zones: number, seed = 0): Member[] {
 	return Array.from({length: count}, (_, index) => ({name: `front-${seed}-${index}`, zone: `zone-${index % zones}` as ZoneName}));
@@ -11,8 +14,8 @@
 	return new Map(members.map(member => [member.name, neighboursOf(member, members, isReachable)]));
 }
 
-/** How many links the farthest instance is away from the first one; infinite if one is out of reach. */
-function farthest(links: ReadonlyMap<string, Neighbours>): number {
+/** The largest distance of an instance from the first one, in links; infinite if one is unreachable. */
+function maxHops(links: ReadonlyMap<string, Neighbours>): number {
 	const [start] = links.keys();
 	const hops = new Map([[start!, 0]]);
 	for (const [name, count] of hops) {
@@ -28,17 +31,17 @@
 
 const fleets = fc.record({count: fc.integer({min: 1, max: 360}), zones: fc.integer({min: 1, max: 6}), seed: fc.nat(1000)});
 
-tap.test('every instance is linked with few others, and news reaches all in few hops', async t => {
+tap.test('every instance has few links, and a report reaches all instances within few hops', async t => {
 	fc.assert(fc.property(fleets, ({count, zones, seed}) => {
 		const links = linksOf(fleet(count, zones, seed));
 		const depth = Math.ceil(Math.log2(count));
-		const most = count <= largestMesh ? count - 1 : (largestZoneMesh - 1) + (4 * depth);
-		return farthest(links) <= Math.max(1, depth) && [...links.values()].every(({linked}) => linked.size <= most);
+		const maxLinks = count <= maxMeshInstances ? count - 1 : (maxZoneMeshInstances - 1) + (4 * depth);
+		return maxHops(links) <= Math.max(1, depth) && [...links.values()].every(({linked}) => linked.size <= maxLinks);
 	}), {seed: 5, numRuns: 25});
 	t.pass();
 });
 
-tap.test('both of a pair know that they are linked, and just one dials', async t => {
+tap.test('links are symmetric, and exactly one instance of each pair dials', async t => {
 	fc.assert(fc.property(fleets, ({count, zones, seed}) => {
 		const links = linksOf(fleet(count, zones, seed));
 		return [...links].every(([name, {linked}]) => [...linked].every(other => {
@@ -50,18 +53,18 @@
 	t.pass();
 });
 
-// Guards against a fleet that falls apart when a zone is gone for good and its names are still known.
-tap.test('those that are left stay linked when any third of the fleet is gone', async t => {
-	fc.assert(fc.property(fleets, fc.integer({min: 0, max: 2}), ({count, zones, seed}, gone) => {
+// Guards against a fleet that is partitioned when a zone is lost for good and its names are still known.
+tap.test('the remaining instances stay connected when any third of the fleet is lost', async t => {
+	fc.assert(fc.property(fleets, fc.integer({min: 0, max: 2}), ({count, zones, seed}, lostThird) => {
 		const members = fleet(count, zones, seed);
-		const left = new Set(members.filter((_, index) => index % 3 !== gone || index === 0).map(({name}) => name));
-		const links = new Map([...linksOf(members, name => left.has(name))].filter(([name]) => left.has(name)));
-		return farthest(links) < Infinity;
+		const remaining = new Set(members.filter((_, index) => index % 3 !== lostThird || index === 0).map(({name}) => name));
+		const links = new Map([...linksOf(members, name => remaining.has(name))].filter(([name]) => remaining.has(name)));
+		return maxHops(links) < Infinity;
 	}), {seed: 7, numRuns: 25});
 	t.pass();
 });
 
-tap.test('links across zones grow with the logarithm of the fleet', async t => {
+tap.test('the number of links across zones grows with the logarithm of the fleet\'s size', async t => {
 	const across = (count: number): number => {
 		const members = fleet(count, 5);
 		const zones = new Map(members.map(({name, zone}) => [name, zone]));
@@ -73,18 +76,22 @@
 	t.ok(across(350) < 18, `350 instances: ${across(350)}`);
 });
 
-tap.test('an instance knows of its own and its neighbours\' part of all requests', async t => {
+tap.test('an instance sees its own part of all requests and that of its neighbours', async t => {
 	t.equal(visibleRequestShare({links: 0, instances: 1}), 1);
 	t.equal(visibleRequestShare({links: 3, instances: 4}), 1);
 	t.equal(visibleRequestShare({links: 24, instances: 100}), 0.25);
 	t.equal(visibleRequestShare({links: 5, instances: 2}), 1, 'before all names are known');
 });
 
-tap.test('what all instances ask of the store does not grow with their number', async t => {
+tap.test('the rate of calls from all instances to the store does not grow with their number', async t => {
 	const callsEachSecond = (instances: number): number => {
 		const others = instances - 1;
-		const middle = {polls: 100, draw: 0.5};
-		return instances * 1000 * ((1 / routingLongPollWait({others, polls: 2, isStoreUnresponsive: false}, 0.5)) + (1 / endpointPollInterval({others, drainMilliseconds: 4000}, middle)) + (1 / instancePollInterval(middle)));
+		const position = {polls: 100, draw: 0.5};
+		return instances * 1000 * (
+			(1 / routingLongPollWait({others, polls: 2, isStoreUnresponsive: false}, 0.5))
+			+ (1 / endpointPollInterval({others, drainMilliseconds: 4000}, position))
+			+ (1 / instancePollInterval(position))
+		);
 	};
 
 	t.ok(callsEachSecond(18) < 5, `18 instances: ${callsEachSecond(18)}`);
@@ -92,25 +99,26 @@
 	t.ok(callsEachSecond(350) / 350 < 0.2, `350 instances, each: ${callsEachSecond(350) / 350}`);
 });
 
-tap.test('a reading waits for a change where the store is well, and asks for what is there where that is in doubt', async t => {
+tap.test('a long poll waits for a change while the store responds, and returns at once while it does not', async t => {
 	t.equal(routingLongPollWait({others: 6, polls: 5, isStoreUnresponsive: false}, 1), 5400);
-	t.equal(routingLongPollWait({others: 6, polls: 0, isStoreUnresponsive: false}, 0.5), 2700, 'after a change any part of a whole wait');
+	t.equal(routingLongPollWait({others: 6, polls: 0, isStoreUnresponsive: false}, 0.5), 2700, 'after a change a random part of the base wait');
 	t.equal(routingLongPollWait({others: 6, polls: 5, isStoreUnresponsive: true}, 1), 0);
-	t.equal(routingLongPollWait({others: 6, polls: 5, isStoreUnresponsive: false}, 0.123_456), 4453, 'a whole number, which the store takes');
+	t.equal(routingLongPollWait({others: 6, polls: 5, isStoreUnresponsive: false}, 0.123_456), 4453, 'the store accepts whole numbers only');
 	t.equal(routingLongPollWait({others: 6, polls: 0, isStoreUnresponsive: false}, 0.123_456), 667);
 	t.equal(routingLongPollWait({others: 400, polls: 5, isStoreUnresponsive: false}, 1), 20_000);
 });
 
-tap.test('a refused reading is tried at once, then ever more rarely; soon again by whoever knows nothing', async t => {
-	const pause = (failures: number, more: {others?: number; hasRead?: boolean; pollIntervalMilliseconds?: number; applyMilliseconds?: number} = {}): number => pollRetryDelay({failures, others: 5, hasRead: true, pollIntervalMilliseconds: 0, applyMilliseconds: 2000, ...more}, 1);
-	t.equal(pause(1), 100);
-	t.equal(pause(20), 600, 'six of them try it nearly ten times within the time of a change');
-	t.equal(pause(20, {others: 40}), 4800, 'and so do many');
-	t.equal(pause(20, {others: 400}), 6000);
-	t.equal(pause(20, {others: 1}), 500, 'nobody would tell it');
-	t.equal(pause(20, {hasRead: false}), 500);
-	t.equal(pause(20, {others: 1, applyMilliseconds: 8000}), 2000, 'a part of the time of a change');
-	t.equal(pause(1, {pollIntervalMilliseconds: 9000}), 9000, 'the others read meanwhile');
-	t.equal(pause(1, {pollIntervalMilliseconds: 9000, others: 1}), 100);
-	t.equal(pollRetryDelay({failures: 20, others: 5, hasRead: true, pollIntervalMilliseconds: 0, applyMilliseconds: 2000}, 0), 300, 'spread, so that one of many is early');
+tap.test('a refused poll is retried at once, then with growing delays; the delays of an instance without data stay short', async t => {
+	const delay = (failures: number, more: {others?: number; hasRead?: boolean; pollIntervalMilliseconds?: number; applyMilliseconds?: number} = {}): number =>
+		pollRetryDelay({failures, others: 5, hasRead: true, pollIntervalMilliseconds: 0, applyMilliseconds: 2000, ...more}, 1);
+	t.equal(delay(1), 100);
+	t.equal(delay(20), 600, 'six instances retry nearly ten times within the time in which a change has to be in force');
+	t.equal(delay(20, {others: 40}), 4800, 'and so do more instances');
+	t.equal(delay(20, {others: 400}), 6000);
+	t.equal(delay(20, {others: 1}), 500, 'too few others to report to it');
+	t.equal(delay(20, {hasRead: false}), 500);
+	t.equal(delay(20, {others: 1, applyMilliseconds: 8000}), 2000, 'a part of the time in which a change has to be in force');
+	t.equal(delay(1, {pollIntervalMilliseconds: 9000}), 9000, 'the others poll in the meantime');
+	t.equal(delay(1, {pollIntervalMilliseconds: 9000, others: 1}), 100);
+	t.equal(pollRetryDelay({failures: 20, others: 5, hasRead: true, pollIntervalMilliseconds: 0, applyMilliseconds: 2000}, 0), 300, 'jittered, so that one of many instances retries early');
 });
