--- a/src/policy/claims/fold.ts
+++ b/src/policy/claims/fold.ts
@@ -2,43 +2,43 @@
 import {isInWindow, keyWindowMilliseconds} from './key.js';
 import {claimBatchSchema, type ClaimItem} from './records.js';
 
-/** Who holds a key. */
+/** The claim that holds a key. */
 export type Holder = {
 	readonly claim: string;
 	readonly instance: string;
 	readonly request: string;
 	readonly fingerprint: string;
 	readonly finished: boolean;
-	/** Whose side may still have the answer. */
+	/** The endpoint whose side (the sidecar process of one endpoint) may still have the response. */
 	readonly endpoint?: string;
 };
 
-/** Keys made in one minute: only the minutes that a record touches are copied, and old ones go whole. */
-type Minute = {
+/** Keys created within one minute: a fold copies only the minutes that its records touch, and expired minutes are dropped as one. */
+type MinuteBucket = {
 	readonly holders: ReadonlyMap<string, Holder>;
 	readonly released: ReadonlySet<string>;
 };
 
-/** The claims of one partition, as its stream tells them up to `next`. */
+/** The claims of one partition after the records of its stream before the offset `next`. */
 export type Claims = {
 	readonly next: number;
-	/** The latest time that the log gave to a record. */
+	/** The latest time that the log assigned to a record, in milliseconds. */
 	readonly time: number;
-	readonly minutes: ReadonlyMap<number, Minute>;
-	/** Records that no version of this program could have written. */
+	readonly minutes: ReadonlyMap<number, MinuteBucket>;
+	/** Number of records that no version of this program could have written. */
 	readonly ignored: number;
 };
 
 const minuteMilliseconds = 60_000;
-const emptyMinute: Minute = {holders: new Map(), released: new Set()};
+const emptyBucket: MinuteBucket = {holders: new Map(), released: new Set()};
 
 export function createClaims(): Claims {
 	return {next: 0, time: 0, minutes: new Map(), ignored: 0};
 }
 
 /**
- * Applies records in log order. Everything is judged by what stands in the records, the log's own
- * time included, so that all readers agree; a record that comes twice changes nothing.
+ * Applies records in log order. Decisions depend only on the records, including the time that the log assigned,
+ * so that all readers agree. Applying a record twice changes nothing.
  */
 export function foldClaims(state: Claims, records: readonly LogEntry[]): Claims {
 	let {next, time, ignored} = state;
@@ -64,24 +64,24 @@
 	return {next, time, ignored, minutes: dropExpired(changes.minutes, time)};
 }
 
-/** Copies of the minutes that one fold changes, made when first touched. */
+/** The minutes of one fold; those that it changes are copied when first touched. */
 type Changes = {
-	readonly minutes: Map<number, Minute>;
+	readonly minutes: Map<number, MinuteBucket>;
 	readonly copied: Map<number, {holders: Map<string, Holder>; released: Set<string>}>;
 };
 
-function createChanges(minutes: ReadonlyMap<number, Minute>): Changes {
+function createChanges(minutes: ReadonlyMap<number, MinuteBucket>): Changes {
 	return {minutes: new Map(minutes), copied: new Map()};
 }
 
-function openMinute({minutes, copied}: Changes, keyTime: number): {holders: Map<string, Holder>; released: Set<string>} {
+function writableBucket({minutes, copied}: Changes, keyTime: number): {holders: Map<string, Holder>; released: Set<string>} {
 	const index = Math.floor(keyTime / minuteMilliseconds);
-	const open = copied.get(index);
-	if (open) {
-		return open;
+	const existing = copied.get(index);
+	if (existing) {
+		return existing;
 	}
 
-	const {holders, released} = minutes.get(index) ?? emptyMinute;
+	const {holders, released} = minutes.get(index) ?? emptyBucket;
 	const copy = {holders: new Map(holders), released: new Set(released)};
 	copied.set(index, copy);
 	minutes.set(index, copy);
@@ -93,12 +93,12 @@
 		return;
 	}
 
-	const {holders, released} = openMinute(changes, item.keyTime);
+	const {holders, released} = writableBucket(changes, item.keyTime);
 	const holder = holders.get(item.key);
 	switch (item.type) {
 		case 'claim': {
-			// Failure: an append is repeated, or kept late, after its claim was released. Symptom: the key
-			// is held by a claim that nobody will run. A released claim is void for ever, in any order.
+			// An append may be repeated, or delivered late, after its claim was released. If it were applied, the key
+			// would be held by a claim that never runs. A released claim is void for good, in any order of records.
 			if (!holder && !released.has(item.claim)) {
 				holders.set(item.key, {claim: item.claim, instance, request: item.request, fingerprint: item.fingerprint, finished: false});
 			}
@@ -123,7 +123,7 @@
 	}
 }
 
-function dropExpired(minutes: Map<number, Minute>, time: number): Map<number, Minute> {
+function dropExpired(minutes: Map<number, MinuteBucket>, time: number): Map<number, MinuteBucket> {
 	const oldest = Math.floor((time - keyWindowMilliseconds) / minuteMilliseconds);
 	for (const index of minutes.keys()) {
 		if (index < oldest) {
@@ -135,14 +135,14 @@
 }
 
 /**
- * Goes on after retention dropped records that were not read. What is known stays: it can only hold
- * keys that are free by now, never free a key that is held.
+ * Continues after the log's retention dropped records that were not read. The known state stays: it may still hold
+ * keys that have been released since, but never frees a key that is held.
  */
 export function skipToOffset(state: Claims, first: number): Claims {
 	return {...state, next: Math.max(state.next, first)};
 }
 
-/** Who holds a key of this time, if anyone. */
+/** The claim that holds a key of this time, if any. */
 export function holderOf(state: Claims, key: {readonly id: string; readonly time: number}): Holder | undefined {
 	return state.minutes.get(Math.floor(key.time / minuteMilliseconds))?.holders.get(key.id);
 }
--- a/src/policy/claims/key.ts
+++ b/src/policy/claims/key.ts
@@ -3,16 +3,16 @@
 import {partitionOf} from '../hashing/index.js';
 
 /**
- * How long a key may be used after it was made. Claims are judged from records of the log, so the
- * window must be well inside the log's retention: a quarter hour covers any caller's retries.
+ * How long a key may be used after its creation. Claims are decided from records of the log, so the
+ * window must be well within the log's retention; a quarter of an hour covers any caller's retries.
  */
 export const keyWindowMilliseconds = 15 * 60_000;
-/** How far a caller's clock may be ahead of the log's. */
+/** How far a caller's clock may be ahead of the log's clock. */
 export const keySkewMilliseconds = 60_000;
-/** Streams that the claims are spread over. Fixed: another count would send a key to another stream. */
+/** Number of streams over which claims are partitioned. Fixed: a different number would map a key to a different stream. */
 export const claimPartitions = 16;
 
-/** A key within its workspace, and when the caller made it. */
+/** A key within its workspace, and the time at which the caller created it, in Unix milliseconds. */
 export type ClaimKey = {
 	readonly id: string;
 	readonly time: number;
@@ -21,7 +21,7 @@
 
 export type ParsedKey = {readonly type: 'key'; readonly key: ClaimKey} | {readonly type: 'refused'; readonly failure: Failure};
 
-/** Reads an `Idempotency-Key`: a UUIDv7, whose leading bits are its time. */
+/** Parses an `Idempotency-Key`: a UUIDv7, whose leading bits are its creation time. */
 export function parseClaimKey(workspace: WorkspaceName, text: string): ParsedKey {
 	const lower = text.toLowerCase();
 	if (!validate(lower) || version(lower) !== 7) {
@@ -36,7 +36,7 @@
 	return Number.parseInt(uuid.slice(0, 8) + uuid.slice(9, 13), 16);
 }
 
-/** True if a key of this time may be claimed at this moment. */
+/** True if a key of this time may be claimed now. */
 export function isInWindow(keyTime: number, now: number): boolean {
 	return keyTime <= now + keySkewMilliseconds && keyTime > now - keyWindowMilliseconds;
 }
@@ -45,7 +45,7 @@
 	return `claims-${partition}`;
 }
 
-/** The refusal of a key outside its window: nothing ran, and nothing will. */
+/** The failure for a key outside its window: no request ran under it, and none will. */
 export function createKeyExpiredFailure(): Failure {
 	return createFailure(FailureKind.keyExpired, `The Idempotency-Key was made more than ${keyWindowMilliseconds / 60_000} minutes ago or lies in the future.`);
 }
--- a/src/policy/claims/log-entry.ts
+++ b/src/policy/claims/log-entry.ts
@@ -1,2 +1,2 @@
-/** A record of a claims stream, as the platform's log gives it. */
+/** A record of a claims stream, as the platform's log returns it. */
 export type LogEntry = {readonly offset: number; readonly time: number; readonly value: unknown};
--- a/src/policy/eras/index.ts
+++ b/src/policy/eras/index.ts
@@ -1,52 +1,53 @@
 /**
- * Load pattern: in a drill the store is away for a moment and comes back from a copy some seconds old. What was written since is gone, and
- * offsets are given out again. Told by offsets alone, a reader that was away goes on behind records that it never read: a key
- * that was taken away stays in use. Each answer of the store therefore carries its era, which only rises.
+ * Load pattern: in a recovery drill the store is unavailable for a short time and is then restored from a backup that is some seconds
+ * old. What was written since the backup is lost, and its offsets are assigned again. With offsets alone, a reader that missed the restore
+ * would continue after records that it never read, and for example a revoked key would stay in use. Each response of the store therefore
+ * carries its era: the store's generation number, which rises with each restore and never falls.
  */
 
-/** What an answer said of its era. */
+/** What the era of one response means for the known era. */
 export type EraCheck
 	= | {readonly type: 'same'; readonly era: number}
-	/** The store has come back from a copy since the last answer. */
+	/** The store was restored from a backup since the last response. */
 		| {readonly type: 'risen'; readonly era: number; readonly before: number}
-	/** The answer was made before that: nothing in it counts. */
+	/** The response was created before the latest known restore, and has to be discarded. */
 		| {readonly type: 'outdated'; readonly era: number; readonly said: number}
-	/** It says none, or no number; it counts as of the era that is known. */
+	/** The response names no era, or no valid number; it is treated as one of the known era. */
 		| {readonly type: 'unreadable'; readonly era: number; readonly said: string | undefined};
 
-/** The era of a store that has never said one. */
-export const firstEra = 0;
+/** The era of a store that has never named one. */
+export const initialEra = 0;
 
-/** The newest era that any answer named. */
+/** The newest era that any response named. */
 export type KnownEra = {readonly era: number; readonly isReported: boolean};
 
-export const unknownEra: KnownEra = {era: firstEra, isReported: false};
+export const unknownEra: KnownEra = {era: initialEra, isReported: false};
 
-/** Takes what one answer said. A store that never says an era has just one. */
-export function checkEra(known: KnownEra, said: string | undefined): EraCheck {
+/** Compares the era that one response reported with the known one. A store that never names an era has only one. */
+export function checkEra(known: KnownEra, reported: string | undefined): EraCheck {
 	const {era, isReported} = known;
-	if (said === undefined && !isReported) {
+	if (reported === undefined && !isReported) {
 		return {type: 'same', era};
 	}
 
-	if (said === undefined || !/^\d{1,15}$/v.test(said)) {
-		return {type: 'unreadable', era, said};
+	if (reported === undefined || !/^\d{1,15}$/v.test(reported)) {
+		return {type: 'unreadable', era, said: reported};
 	}
 
-	const heard = Number(said);
-	if (heard < era) {
-		return {type: 'outdated', era, said: heard};
+	const parsed = Number(reported);
+	if (parsed < era) {
+		return {type: 'outdated', era, said: parsed};
 	}
 
-	return heard > era && isReported ? {type: 'risen', era: heard, before: era} : {type: 'same', era: heard};
+	return parsed > era && isReported ? {type: 'risen', era: parsed, before: era} : {type: 'same', era: parsed};
 }
 
-/** What is known after an answer. */
-export function updateKnownEra(known: KnownEra, verdict: EraCheck, said: string | undefined): KnownEra {
-	switch (verdict.type) {
+/** The known era after a response. */
+export function updateKnownEra(known: KnownEra, check: EraCheck, reported: string | undefined): KnownEra {
+	switch (check.type) {
 		case 'same':
 		case 'risen': {
-			return {era: verdict.era, isReported: known.isReported || said !== undefined};
+			return {era: check.era, isReported: known.isReported || reported !== undefined};
 		}
 
 		case 'outdated':
--- a/src/policy/membership/index.ts
+++ b/src/policy/membership/index.ts
@@ -1,42 +1,42 @@
 /**
- * Load pattern: the platform's membership list lags, up to a minute, and is wrong in both
- * directions. Without this fold an endpoint that is leaving gets new work until the list catches
- * up, or a live one is dropped because the list lost it.
+ * Load pattern: the platform's membership list lags by up to a minute, and is wrong in both
+ * directions. Without this fold an endpoint that shuts down gets new work until the list catches
+ * up, or a live one is dropped because it is missing from the list.
  *
- * Evidence is ranked: a side's own word counts for more than the state of the connection to it, and
- * that for more than the list. A later incarnation of a side replaces all evidence on earlier ones;
- * within one, *leaving* is final. The fold gives the same standing in whatever order evidence
- * arrives, and however often, but for a connection's own up and down, which are this process's.
+ * Evidence is ranked: an announcement of the side (the sidecar process of one endpoint) takes precedence over the state
+ * of the connection to it, and this over the list. A later incarnation of a side replaces all evidence on earlier ones;
+ * within one incarnation, `leaving` is final. The result does not depend on the order in which evidence
+ * arrives, or on repetitions, except for the connection events, which this process observes itself in their order.
  */
 import {type EndpointId, type InstanceId} from '../../model/index.js';
 
 export type Phase = 'serving' | 'leaving' | 'down';
 
 export type Evidence
-	/** What the side said of itself. `sequence` counts its words, so that a late one is known as late. */
+	/** An announcement of the side itself. `sequence` numbers its announcements, so that a delayed one is recognized. */
 	= | {readonly type: 'said'; readonly endpoint: EndpointId; readonly instance: InstanceId; readonly phase: Phase; readonly sequence: number}
-	/** This process's connection to the side came up or broke. */
+	/** This process's connection to the side was established or lost. */
 		| {readonly type: 'connected' | 'broken'; readonly endpoint: EndpointId; readonly instance: InstanceId}
-	/** The membership list, whole. Endpoints that it does not name are unlisted. */
+	/** The complete membership list. Endpoints that it does not name are unlisted. */
 		| {readonly type: 'listed'; readonly members: ReadonlyArray<{readonly endpoint: EndpointId; readonly instance: InstanceId; readonly leaving: boolean}>};
 
-type Known = {
+type EndpointEvidence = {
 	readonly instance: InstanceId;
-	readonly word?: {readonly phase: Phase; readonly sequence: number};
+	readonly announcement?: {readonly phase: Phase; readonly sequence: number};
 	readonly connection?: 'up' | 'broken';
 	readonly listed?: 'live' | 'leaving' | 'gone';
 };
 
-export type Membership = ReadonlyMap<EndpointId, Known>;
+export type Membership = ReadonlyMap<EndpointId, EndpointEvidence>;
 
-/** What follows from the evidence on one endpoint. */
-export type Standing = {
+/** The status that follows from the evidence on one endpoint. */
+export type MembershipStatus = {
 	readonly instance: InstanceId;
-	/** New work may go there. */
-	readonly usable: boolean;
+	/** New requests may be sent to the endpoint. */
+	readonly isUsable: boolean;
 	readonly leaving: boolean;
-	/** A connection should be sought. */
-	readonly dial: boolean;
+	/** This process should try to connect. */
+	readonly shouldDial: boolean;
 	readonly reason: 'serving' | 'said-leaving' | 'said-down' | 'connection-broken' | 'not-connected' | 'listed-leaving' | 'unlisted';
 };
 
@@ -47,7 +47,7 @@
 export function stepMembership(state: Membership, evidence: Evidence): Membership {
 	switch (evidence.type) {
 		case 'said': {
-			return update(state, evidence, known => laterWord(known, evidence));
+			return update(state, evidence, known => applyAnnouncement(known, evidence));
 		}
 
 		case 'connected': {
@@ -65,7 +65,7 @@
 }
 
 /** Instance ids end in a UUIDv7, so the later incarnation sorts last. */
-function update(state: Membership, about: {endpoint: EndpointId; instance: InstanceId}, change: (known: Known) => Known): Membership {
+function update(state: Membership, about: {endpoint: EndpointId; instance: InstanceId}, change: (known: EndpointEvidence) => EndpointEvidence): Membership {
 	const known = state.get(about.endpoint);
 	if (known && known.instance > about.instance) {
 		return state;
@@ -75,14 +75,14 @@
 	return new Map(state).set(about.endpoint, change(current));
 }
 
-function laterWord(known: Known, {phase, sequence}: {phase: Phase; sequence: number}): Known {
-	// Failure: a delayed "serving" arrives after "leaving". Symptom: new work on a side that stops.
-	// Leaving is final for an incarnation, so no order of arrival can undo it.
-	if (known.word?.phase === 'leaving' || (phase !== 'leaving' && known.word && known.word.sequence >= sequence)) {
+function applyAnnouncement(known: EndpointEvidence, {phase, sequence}: {phase: Phase; sequence: number}): EndpointEvidence {
+	// A delayed "serving" may arrive after "leaving"; if it counted, new work would go to a side that shuts down.
+	// Leaving is final for an incarnation, so that no order of arrival can undo it.
+	if (known.announcement?.phase === 'leaving' || (phase !== 'leaving' && known.announcement && known.announcement.sequence >= sequence)) {
 		return known;
 	}
 
-	return {...known, word: {phase, sequence}};
+	return {...known, announcement: {phase, sequence}};
 }
 
 function applyList(state: Membership, members: ReadonlyArray<{endpoint: EndpointId; instance: InstanceId; leaving: boolean}>): Membership {
@@ -93,12 +93,12 @@
 		next = update(next, member, known => ({...known, listed: member.leaving ? 'leaving' : 'live'}));
 	}
 
-	const pruned = new Map<EndpointId, Known>();
+	const pruned = new Map<EndpointId, EndpointEvidence>();
 	for (const [endpoint, known] of next) {
 		if (named.has(endpoint)) {
 			pruned.set(endpoint, known);
-		} else if (known.connection === 'up' || known.word?.phase === 'leaving') {
-			// A side that left is remembered until its endpoint's next incarnation: the list may name it again.
+		} else if (known.connection === 'up' || known.announcement?.phase === 'leaving') {
+			// A side that announced its shutdown is remembered until its endpoint's next incarnation, since the list may name it again.
 			pruned.set(endpoint, {...known, listed: 'gone'});
 		}
 	}
@@ -106,30 +106,30 @@
 	return pruned;
 }
 
-/** The standing of an endpoint, or undefined if nothing is known of it. */
-export function standingOf(state: Membership, endpoint: EndpointId): Standing | undefined {
+/** The status of an endpoint, or undefined if there is no evidence on it. */
+export function membershipStatusOf(state: Membership, endpoint: EndpointId): MembershipStatus | undefined {
 	const known = state.get(endpoint);
-	return known && judge(known);
+	return known && evaluate(known);
 }
 
-function judge({instance, word, connection, listed}: Known): Standing {
+function evaluate({instance, announcement: word, connection, listed}: EndpointEvidence): MembershipStatus {
 	if (word?.phase === 'leaving') {
-		return {instance, usable: false, leaving: true, dial: false, reason: 'said-leaving'};
+		return {instance, isUsable: false, leaving: true, shouldDial: false, reason: 'said-leaving'};
 	}
 
 	if (connection === 'broken') {
-		return {instance, usable: false, leaving: listed === 'leaving', dial: true, reason: 'connection-broken'};
+		return {instance, isUsable: false, leaving: listed === 'leaving', shouldDial: true, reason: 'connection-broken'};
 	}
 
 	if (word) {
 		const usable = word.phase === 'serving' && connection === 'up';
 		const reason = word.phase === 'down' ? 'said-down' : (usable ? 'serving' : 'not-connected');
-		return {instance, usable, leaving: false, dial: connection !== 'up', reason};
+		return {instance, isUsable: usable, leaving: false, shouldDial: connection !== 'up', reason};
 	}
 
 	if (listed === 'leaving') {
-		return {instance, usable: false, leaving: true, dial: false, reason: 'listed-leaving'};
+		return {instance, isUsable: false, leaving: true, shouldDial: false, reason: 'listed-leaving'};
 	}
 
-	return {instance, usable: false, leaving: false, dial: connection !== 'up', reason: listed === 'gone' ? 'unlisted' : 'not-connected'};
+	return {instance, isUsable: false, leaving: false, shouldDial: connection !== 'up', reason: listed === 'gone' ? 'unlisted' : 'not-connected'};
 }
--- a/src/policy/quarantine/index.ts
+++ b/src/policy/quarantine/index.ts
@@ -1,13 +1,13 @@
 /**
- * Load pattern: now and then a single request crashes each endpoint that runs it, and its caller
+ * Load pattern: a single request crashes every endpoint that runs it (a poison request), and its caller
  * sends it again, through other entries and under other ids. Without this fold one such caller takes
  * down the fleet, one endpoint at a time.
  *
- * What ran when an endpoint died is suspected, by fingerprint. A suspect may run once more, on one
- * endpoint at a time; a second crash within the period quarantines it. Innocents that ran beside it
- * are cleared when they finish elsewhere, or as soon as a crash is explained by a quarantined request.
+ * All requests that ran when an endpoint crashed become suspects, by fingerprint. A suspect may run once more, on one
+ * endpoint at a time; a second crash within the period quarantines it. Unrelated requests that ran on the same endpoint
+ * are cleared when they complete elsewhere, or as soon as the crash is explained by a quarantined request.
  *
- * The state is a set of records, and every judgement is computed from the set: so records may come
+ * The state is a set of records, and every status is computed from this set. Records may therefore arrive
  * by frame and by log, late, repeated and in any order, and all readers of the same records agree.
  */
 import {type EndpointId, type InstanceId} from '../../model/index.js';
@@ -16,16 +16,16 @@
 export {fingerprintOf} from './fingerprint.js';
 export {quarantineRecordSchema, type ClearedRecord, type CrashRecord, type QuarantineRecord, type ReleasedRecord} from './records.js';
 
-/** How long crashes count. A caller that sends the request again does so within minutes. */
+/** How long a crash counts. A caller that sends the request again does so within minutes. */
 export const quarantineMilliseconds = 10 * 60_000;
-/** Crashes within the period that quarantine: the first may have been another's fault, or hardware's. */
-export const quarantiningCrashes = 2;
-/** Crashes kept: a hundred a minute for the whole period, far beyond the 18 instances that fail on an ordinary day at size. */
-export const largestCrashes = 1000;
+/** Number of crashes within the period that quarantines a fingerprint: the first may have been caused by another request or by hardware. */
+export const quarantineThreshold = 2;
+/** Number of crash records kept: a hundred a minute for the whole period, far more than the 18 instances that fail on an ordinary day in a full-size fleet. */
+export const maxCrashRecords = 1000;
 
 export type Quarantine = {
 	readonly crashes: ReadonlyMap<string, CrashRecord>;
-	/** Crash ids that a fingerprint was cleared of, by a whole run or by an operator. */
+	/** The ids of crashes of which a fingerprint was cleared, by a complete run or by an operator. */
 	readonly cleared: ReadonlyMap<string, ReadonlySet<string>>;
 };
 
@@ -36,12 +36,12 @@
 	return {crashes: new Map(), cleared: new Map()};
 }
 
-/** Makes the record that a side writes when its endpoint dies. */
+/** Creates the record that a side (the sidecar process of one endpoint) writes when its endpoint crashes. */
 export function createCrashRecord(side: InstanceId, endpoint: EndpointId, fingerprints: Iterable<string>, now: number): CrashRecord {
 	return {type: 'crashed', crash: `${side}@${Math.floor(now)}`, endpoint, fingerprints: [...new Set(fingerprints)].toSorted(), time: now};
 }
 
-/** Adds a record. Adding it again changes nothing, and the order of two records doesn't matter. */
+/** Adds a record. The operation is idempotent and commutative: neither repetition nor the order of records matters. */
 export function foldQuarantine(state: Quarantine, record: QuarantineRecord): Quarantine {
 	switch (record.type) {
 		case 'crashed': {
@@ -56,12 +56,12 @@
 	}
 }
 
-/** Drops what no longer counts, and the oldest crashes beyond the bound. */
+/** Drops records that no longer count, and the oldest crashes beyond `maxCrashRecords`. */
 export function pruneQuarantine(state: Quarantine, now: number): Quarantine {
 	const recent = [...state.crashes.values()]
 		.filter(crash => now - crash.time < quarantineMilliseconds)
 		.toSorted((left, right) => right.time - left.time || (left.crash < right.crash ? -1 : 1))
-		.slice(0, largestCrashes);
+		.slice(0, maxCrashRecords);
 	if (recent.length === state.crashes.size) {
 		return state;
 	}
@@ -71,20 +71,20 @@
 	return {crashes, cleared};
 }
 
-/** What is held against a fingerprint, and the crashes that hold it. */
+/** The suspicion against a fingerprint, and the crashes on which it is based. */
 export type FingerprintStatus = {readonly suspicion: Suspicion; readonly crashes: readonly CrashRecord[]};
 
 export function evaluateFingerprint(state: Quarantine, fingerprint: string, now: number): FingerprintStatus {
-	const held = heldCrashes(state, fingerprint, now);
-	if (held.length >= quarantiningCrashes) {
-		return {suspicion: Suspicion.quarantined, crashes: held};
+	const counted = countedCrashes(state, fingerprint, now);
+	if (counted.length >= quarantineThreshold) {
+		return {suspicion: Suspicion.quarantined, crashes: counted};
 	}
 
-	const unexplained = held.filter(crash => !isExplained(state, crash, fingerprint, now));
+	const unexplained = counted.filter(crash => !isExplained(state, crash, fingerprint, now));
 	return {suspicion: unexplained.length > 0 ? Suspicion.suspect : Suspicion.none, crashes: unexplained};
 }
 
-function heldCrashes(state: Quarantine, fingerprint: string, now: number): CrashRecord[] {
+function countedCrashes(state: Quarantine, fingerprint: string, now: number): CrashRecord[] {
 	const cleared = state.cleared.get(fingerprint);
 	return [...state.crashes.values()].filter(crash => crash.fingerprints.includes(fingerprint)
 		&& now - crash.time < quarantineMilliseconds
@@ -92,15 +92,15 @@
 }
 
 /**
- * Failure: an innocent that ran beside a poison request stays a suspect, and waits for a turn alone.
- * Symptom: rivals' requests slow down for one caller's fault. A crash whose cause has been found
- * says nothing about the others that it hit.
+ * A crash whose cause has been found is no evidence against the other requests that it hit. Without this rule an
+ * unrelated request that ran beside a poison request remains a suspect and has to wait until it can run alone, so that
+ * one caller's poison request slows down the requests of others.
  */
 function isExplained(state: Quarantine, crash: CrashRecord, fingerprint: string, now: number): boolean {
-	return crash.fingerprints.some(other => other !== fingerprint && heldCrashes(state, other, now).length >= quarantiningCrashes);
+	return crash.fingerprints.some(other => other !== fingerprint && countedCrashes(state, other, now).length >= quarantineThreshold);
 }
 
-/** Every quarantined fingerprint, for operators. */
+/** All quarantined fingerprints, for operators. */
 export function listQuarantined(state: Quarantine, now: number): ReadonlyArray<{readonly fingerprint: string; readonly crashes: readonly CrashRecord[]}> {
 	const fingerprints = new Set([...state.crashes.values()].flatMap(crash => crash.fingerprints));
 	return [...fingerprints].toSorted()
@@ -109,12 +109,12 @@
 		.map(({fingerprint, crashes}) => ({fingerprint, crashes}));
 }
 
-/** The record that clears a suspect which ran to its end: of the crashes that were held against it when it started. */
-export function createClearedRecord(fingerprint: string, judgedAtStart: FingerprintStatus, now: number): ClearedRecord {
-	return {type: 'cleared', fingerprint, crashes: judgedAtStart.crashes.map(({crash}) => crash), time: now};
+/** Creates the record that clears a suspect after a complete run, of the crashes that counted against it when it started. */
+export function createClearedRecord(fingerprint: string, statusAtStart: FingerprintStatus, now: number): ClearedRecord {
+	return {type: 'cleared', fingerprint, crashes: statusAtStart.crashes.map(({crash}) => crash), time: now};
 }
 
-/** The record by which an operator lets a fingerprint go: of the crashes known now, so that a later one counts again. */
+/** Creates the record by which an operator releases a fingerprint, from the crashes known now, so that a later crash counts again. */
 export function createReleasedRecord(state: Quarantine, fingerprint: string, operator: string, now: number): ReleasedRecord {
 	const crashes = [...state.crashes.values()].filter(crash => crash.fingerprints.includes(fingerprint)).map(({crash}) => crash);
 	return {type: 'released', fingerprint, crashes, operator, time: now};
--- a/src/policy/retries/index.ts
+++ b/src/policy/retries/index.ts
@@ -1,83 +1,83 @@
 /**
  * Load pattern: a fault or an overload makes many requests fail at once. Without a budget each of
- * them is sent again, up to the attempt limit, and the retries double the load on what is left, so
- * that the fleet stays down after the fault has gone.
+ * them is retried up to the attempt limit, and the retries double the load on the remaining endpoints, so
+ * that the fleet stays down after the fault is gone.
  *
- * Retries are therefore bounded to about a tenth of recent requests, with a small floor so that a
- * quiet entry may still retry. Each request is also bounded by its deadline, by a number of
- * attempts, and by its verdict: what may have run is sent again only if it is idempotent.
+ * Retries are therefore limited to about a tenth of recent requests, with a small minimum rate so that an
+ * entry with little traffic may still retry. The retries of each request are also limited by its deadline, by a number of
+ * attempts, and by the verdict: a request that may have run is retried only if it is idempotent.
  */
 import {type Failure, FailureKind, mayRetry as verdictAllows} from '../../model/index.js';
 
-/** Retries earned by each request: a tenth keeps the added load below what a fleet run at 90% can bear. */
-export const budgetShare = 0.1;
-/** Earned a second without any traffic: one endpoint lost while quiet strands a handful of requests. */
-export const floorPerSecond = 1;
-/** Held at most: the retries of one lost endpoint with 32 slots at an entry that had half of them. */
-export const largestBudget = 20;
-/** Attempts of one request, the first included. */
+/** Retries added to the budget by each request: a tenth keeps the added load below the headroom of a fleet that runs at 90% of its capacity. */
+export const retriesPerRequest = 0.1;
+/** Retries added per second even without traffic: the loss of one endpoint in a quiet period affects a handful of requests. */
+export const minimumRetriesPerSecond = 1;
+/** Maximum size of the budget: enough for the retries after the loss of one endpoint with 32 slots at an entry that had used half of them. */
+export const maxBudgetTokens = 20;
+/** Maximum number of attempts of one request, including the first. */
 export const largestAttempts = 4;
 
-/** How much may be spent on retries now. */
+/** A token bucket for retries. Times are milliseconds. */
 export type RetryBudget = {readonly tokens: number; readonly at: number};
 
 export type RetryEvent = {readonly type: 'request'} | {readonly type: 'retry'};
 
 export function createRetryBudget(now: number): RetryBudget {
-	return {tokens: largestBudget / 2, at: now};
+	return {tokens: maxBudgetTokens / 2, at: now};
 }
 
-/** A request earns, a retry spends. */
+/** A request adds to the budget, a retry spends from it. */
 export function stepRetryBudget(state: RetryBudget, event: RetryEvent, now: number): RetryBudget {
-	const earned = state.tokens + (Math.max(0, now - state.at) / 1000 * floorPerSecond);
+	const refilled = state.tokens + (Math.max(0, now - state.at) / 1000 * minimumRetriesPerSecond);
 	const at = Math.max(now, state.at);
 	switch (event.type) {
 		case 'request': {
-			return {tokens: Math.min(largestBudget, earned + budgetShare), at};
+			return {tokens: Math.min(maxBudgetTokens, refilled + retriesPerRequest), at};
 		}
 
 		case 'retry': {
-			return {tokens: Math.min(largestBudget, earned) - 1, at};
+			return {tokens: Math.min(maxBudgetTokens, refilled) - 1, at};
 		}
 	}
 }
 
 export function budgetAllows(state: RetryBudget, now: number): boolean {
-	const earned = state.tokens + (Math.max(0, now - state.at) / 1000 * floorPerSecond);
-	return Math.min(largestBudget, earned) >= 1;
+	const refilled = state.tokens + (Math.max(0, now - state.at) / 1000 * minimumRetriesPerSecond);
+	return Math.min(maxBudgetTokens, refilled) >= 1;
 }
 
-/** One failed attempt. */
+/** A failed attempt. */
 export type Attempt = {
 	readonly failure: Failure;
-	/** Attempts that failed so far, this one included; preempted ones don't count. */
+	/** Failed attempts of the request so far, including this one; preempted ones don't count. */
 	readonly attempts: number;
 	readonly idempotent: boolean;
 	/** Whether any part of the body was sent to a side in this or an earlier attempt. */
 	readonly isBodySent: boolean;
-	/** When the request must have a slot, by the caller's clock of `now`. */
+	/** The time by which the request must have a slot, on the same clock as `now`. */
 	readonly deadline: number;
 };
 
 export type RetryDecision
-	/** A free retry costs no budget. */
+	/** A free retry does not spend from the budget. */
 	= | {readonly type: 'retry'; readonly afterMilliseconds: number; readonly free: boolean}
 		| {readonly type: 'give-up'; readonly reason: 'final' | 'verdict' | 'attempts' | 'deadline' | 'budget'};
 
-/** Whether, and when, to try elsewhere. `random` is uniform in [0, 1) and spreads the retries of one fault. */
+/** Decides whether and when to retry at another endpoint. `random` is uniform in [0, 1) and provides the jitter that spreads the retries after a fault. */
 export function decideRetry(budget: RetryBudget, attempt: Attempt, random: number, now: number): RetryDecision {
 	const backoff = backoffMilliseconds(attempt.failure, attempt.attempts);
 	if (backoff === undefined) {
 		return {type: 'give-up', reason: 'final'};
 	}
 
-	// Failure: a side's "not run" crosses with a body that did start. Symptom: a kitchen ticket is
-	// printed twice. Once its body has left, a non-idempotent request is nobody's to send again.
+	// A side may report "not run" while the body is on its way and then still starts the request: a retry would
+	// print a kitchen ticket twice. A non-idempotent request is therefore never retried once its body was sent.
 	if (!verdictAllows(attempt.failure.verdict, attempt.idempotent) || (attempt.isBodySent && !attempt.idempotent)) {
 		return {type: 'give-up', reason: 'verdict'};
 	}
 
-	// A preempted stream did not fail: how often that happens is bounded by the queue, not by this budget.
+	// A preempted stream is no failure: the number of preemptions is limited by the queue, not by this budget.
 	const free = attempt.failure.kind === FailureKind.preempted;
 	if (!free && attempt.attempts >= largestAttempts) {
 		return {type: 'give-up', reason: 'attempts'};
@@ -91,29 +91,29 @@
 	return free || budgetAllows(budget, now) ? {type: 'retry', afterMilliseconds, free} : {type: 'give-up', reason: 'budget'};
 }
 
-/** A side that goes away leaves others that can be asked at once. */
-const elsewhereMilliseconds = 0;
-/** A full queue elsewhere is likely just as full: wait for about a slot to free. */
-const queueMilliseconds = 50;
-/** An endpoint that failed fast may fail the next one too. */
-const failureMilliseconds = 20;
-
-/** The first wait by kind of failure; a kind that is missing is final, as trying elsewhere can't help. */
-const firstBackoff: Partial<Record<FailureKind, number>> = {
-	[FailureKind.stopping]: elsewhereMilliseconds,
-	[FailureKind.endpointLost]: elsewhereMilliseconds,
-	[FailureKind.preempted]: elsewhereMilliseconds,
-	// The offer lapsed before the body came; the request's own time in queues is checked by its deadline.
-	[FailureKind.queueTimeout]: elsewhereMilliseconds,
-	[FailureKind.endpointFailed]: failureMilliseconds,
-	[FailureKind.badAnswer]: failureMilliseconds,
-	[FailureKind.queueFull]: queueMilliseconds,
-	[FailureKind.noEndpoint]: queueMilliseconds,
-	[FailureKind.notReady]: queueMilliseconds,
+/** When a side shuts down or is lost, others can be tried at once. */
+const immediateRetryMilliseconds = 0;
+/** The queues of other endpoints are probably just as full: wait about as long as it takes until a slot is released. */
+const queueBackoffMilliseconds = 50;
+/** An endpoint that failed quickly may fail the next attempt too. */
+const failureBackoffMilliseconds = 20;
+
+/** The first backoff by kind of failure; a kind that is absent is final, since another endpoint can't help. */
+const initialBackoffMilliseconds: Partial<Record<FailureKind, number>> = {
+	[FailureKind.stopping]: immediateRetryMilliseconds,
+	[FailureKind.endpointLost]: immediateRetryMilliseconds,
+	[FailureKind.preempted]: immediateRetryMilliseconds,
+	// The slot offer expired before the body arrived; the request's total time in queues is limited by its deadline.
+	[FailureKind.queueTimeout]: immediateRetryMilliseconds,
+	[FailureKind.endpointFailed]: failureBackoffMilliseconds,
+	[FailureKind.badAnswer]: failureBackoffMilliseconds,
+	[FailureKind.queueFull]: queueBackoffMilliseconds,
+	[FailureKind.noEndpoint]: queueBackoffMilliseconds,
+	[FailureKind.notReady]: queueBackoffMilliseconds,
 };
 
-/** The wait before the next attempt, or undefined where trying elsewhere can't help. */
+/** The backoff before the next attempt, or undefined if another endpoint can't help. */
 export function backoffMilliseconds(failure: Failure, attempts: number): number | undefined {
-	const first = firstBackoff[failure.kind];
-	return first === undefined ? undefined : first * (2 ** (attempts - 1));
+	const initial = initialBackoffMilliseconds[failure.kind];
+	return initial === undefined ? undefined : initial * (2 ** (attempts - 1));
 }
--- a/src/policy/stragglers/index.ts
+++ b/src/policy/stragglers/index.ts
@@ -1,47 +1,47 @@
 /**
- * Load pattern: an endpoint answers, yet each of its tokens takes several times as long as at its
- * peers (a hot accelerator, a noisy neighbour). Without this module it keeps its share of requests,
- * and every one of them misses its target, while a count of requests in flight sees nothing wrong.
+ * Load pattern: an endpoint responds, but each of its tokens takes several times as long as at its
+ * peers (an overheated accelerator, a noisy neighbour). Without this module it keeps its share of requests,
+ * and every one of them misses its latency target, while the count of requests in flight shows nothing unusual.
  *
- * The measure is time between tokens against the median of the peers that serve the same targets, so
- * that a load which slows all of them ejects none. Endpoints are set aside with hysteresis, the
- * slowest first, and never more than a bounded part of the peers: if most look slow, the cause is
- * not an endpoint. An ejected endpoint gets a trickle, one request at a time, so that its recovery
- * is seen.
+ * This is outlier detection on the time between tokens, compared with the median of the peers that serve the same targets, so
+ * that a load which slows all of them ejects none. Endpoints are ejected and restored with hysteresis, the
+ * slowest first, and never more than a bounded part of the peers: if most of them appear slow, the cause is
+ * not an endpoint. An ejected endpoint gets probe requests, one at a time, so that its recovery
+ * is detected.
  */
 import {type EndpointId} from '../../model/index.js';
 
-/** Twice the peers' median is set aside: unequal batches differ by less in the bench. */
+/** An endpoint at more than twice the peers' median is ejected: unequal batch sizes cause smaller differences. */
 export const ejectRatio = 2;
-/** It comes back only well under that, so that it does not flap. */
-export const returnRatio = 1.4;
-/** At most one in three peers is set aside: the other two can carry its load up to 67% of capacity. */
-export const ejectedShare = 1 / 3;
-/** Tokens that must have been seen before an endpoint is judged. */
-export const judgedTokens = 24;
-/** Tokens over which an old figure fades to a third: a few steps of a batch, so that no single one decides. */
-const memoryTokens = 48;
-/** The same for an endpoint set aside: one trickled answer, even a short one, shows a recovery. */
-const ejectedMemoryTokens = 10;
-/** A trickled request at most this often. */
+/** It is restored only well below that ratio, so that it does not flap. */
+export const restoreRatio = 1.4;
+/** At most one in three peers is ejected: the other two can carry its load up to 67% of capacity. */
+export const maxEjectedShare = 1 / 3;
+/** Number of tokens that must have been observed before an endpoint is evaluated. */
+export const minimumTokens = 24;
+/** Number of tokens over which the weight of older measurements decays to a third: a few steps of a batch, so that no single step decides. */
+const averagingTokens = 48;
+/** The same for an ejected endpoint: a single probe response, even a short one, shows its recovery. */
+const ejectedAveragingTokens = 10;
+/** Minimum time between probe requests to an ejected endpoint. */
 export const probeIntervalMilliseconds = 500;
 
-/** A pace counts for so long: four trickled requests. */
-const freshMilliseconds = 2000;
+/** The age up to which a measurement counts: the time of four probe requests. */
+const maxSampleAgeMilliseconds = 2000;
 
-type Pace = {readonly tokenMilliseconds: number; readonly tokens: number; readonly at: number; readonly ejected: boolean};
+type TokenLatency = {readonly tokenMilliseconds: number; readonly tokens: number; readonly at: number; readonly ejected: boolean};
 
-/** Time between tokens per endpoint, and who is set aside. */
-export type Stragglers = {readonly paces: ReadonlyMap<EndpointId, Pace>};
+/** The average time between tokens of each endpoint, and which endpoints are ejected. */
+export type Stragglers = {readonly latencies: ReadonlyMap<EndpointId, TokenLatency>};
 
 export type StragglerEvent
 	= | {readonly type: 'progressed'; readonly endpoint: EndpointId; readonly tokens: number; readonly milliseconds: number}
 		| {readonly type: 'lost'; readonly endpoint: EndpointId}
-	/** Judges endpoints that serve the same targets against each other. */
+	/** Compares endpoints that serve the same targets with each other, and ejects or restores them. */
 		| {readonly type: 'judge'; readonly peers: readonly EndpointId[]};
 
 export function createStragglers(): Stragglers {
-	return {paces: new Map()};
+	return {latencies: new Map()};
 }
 
 export function stepStragglers(state: Stragglers, event: StragglerEvent, now: number): Stragglers {
@@ -51,67 +51,67 @@
 		}
 
 		case 'lost': {
-			const paces = new Map(state.paces);
-			paces.delete(event.endpoint);
-			return {paces};
+			const latencies = new Map(state.latencies);
+			latencies.delete(event.endpoint);
+			return {latencies};
 		}
 
 		case 'judge': {
-			return judge(state, event.peers);
+			return evaluatePeers(state, event.peers);
 		}
 	}
 }
 
 function observe(state: Stragglers, event: {endpoint: EndpointId; tokens: number; milliseconds: number}, now: number): Stragglers {
 	const measured = event.milliseconds / event.tokens;
-	const before = state.paces.get(event.endpoint) ?? {tokenMilliseconds: measured, tokens: 0, at: now, ejected: false};
-	const kept = Math.exp(-event.tokens / (before.ejected ? ejectedMemoryTokens : memoryTokens));
-	const tokenMilliseconds = (before.tokenMilliseconds * kept) + (measured * (1 - kept));
-	const pace = {tokenMilliseconds, tokens: before.tokens + event.tokens, at: now, ejected: before.ejected};
-	return {paces: new Map(state.paces).set(event.endpoint, pace)};
+	const previous = state.latencies.get(event.endpoint) ?? {tokenMilliseconds: measured, tokens: 0, at: now, ejected: false};
+	const decay = Math.exp(-event.tokens / (previous.ejected ? ejectedAveragingTokens : averagingTokens));
+	const tokenMilliseconds = (previous.tokenMilliseconds * decay) + (measured * (1 - decay));
+	const latency = {tokenMilliseconds, tokens: previous.tokens + event.tokens, at: now, ejected: previous.ejected};
+	return {latencies: new Map(state.latencies).set(event.endpoint, latency)};
 }
 
-function judge(state: Stragglers, peers: readonly EndpointId[]): Stragglers {
+function evaluatePeers(state: Stragglers, peers: readonly EndpointId[]): Stragglers {
 	const known = peers.flatMap(endpoint => {
-		const pace = state.paces.get(endpoint);
-		return pace && pace.tokens >= judgedTokens ? [{endpoint, pace}] : [];
+		const latency = state.latencies.get(endpoint);
+		return latency && latency.tokens >= minimumTokens ? [{endpoint, latency}] : [];
 	});
-	const middle = median(known.map(({pace}) => pace.tokenMilliseconds));
-	const allowed = Math.floor(peers.length * ejectedShare);
-	const slowest = known.toSorted((left, right) => right.pace.tokenMilliseconds - left.pace.tokenMilliseconds);
-	const slow = slowest.filter(({pace}) => pace.tokenMilliseconds > middle * (pace.ejected ? returnRatio : ejectRatio));
-	const ejected = new Set(slow.slice(0, allowed).map(({endpoint}) => endpoint));
-	const paces = new Map(state.paces);
+	const medianMilliseconds = median(known.map(({latency}) => latency.tokenMilliseconds));
+	const maxEjected = Math.floor(peers.length * maxEjectedShare);
+	const slowest = known.toSorted((left, right) => right.latency.tokenMilliseconds - left.latency.tokenMilliseconds);
+	const slow = slowest.filter(({latency}) => latency.tokenMilliseconds > medianMilliseconds * (latency.ejected ? restoreRatio : ejectRatio));
+	const ejected = new Set(slow.slice(0, maxEjected).map(({endpoint}) => endpoint));
+	const latencies = new Map(state.latencies);
 	for (const endpoint of peers) {
-		const pace = paces.get(endpoint);
-		if (pace && pace.ejected !== ejected.has(endpoint)) {
-			paces.set(endpoint, {...pace, ejected: !pace.ejected});
+		const latency = latencies.get(endpoint);
+		if (latency && latency.ejected !== ejected.has(endpoint)) {
+			latencies.set(endpoint, {...latency, ejected: !latency.ejected});
 		}
 	}
 
-	return {paces};
+	return {latencies};
 }
 
-/** The lower median, so that with two peers the slower one can be told apart. */
+/** The lower median, so that the slower one of two peers can be detected. */
 function median(values: readonly number[]): number {
 	const sorted = values.toSorted((left, right) => left - right);
 	return sorted[Math.floor((sorted.length - 1) / 2)] ?? Infinity;
 }
 
 export function isEjected(state: Stragglers, endpoint: EndpointId): boolean {
-	return state.paces.get(endpoint)?.ejected ?? false;
+	return state.latencies.get(endpoint)?.ejected ?? false;
 }
 
 /**
- * What this entry measured there lately, if anything. An old figure says nothing: an endpoint that
- * was slow and isn't used for it would never be seen to have recovered.
+ * The time between tokens that this entry measured at the endpoint recently, if any. Old measurements are ignored: an endpoint that
+ * was slow and is avoided for this reason would otherwise never be seen to have recovered.
  */
 export function measuredTokenMilliseconds(state: Stragglers, endpoint: EndpointId, now: number): number | undefined {
-	const pace = state.paces.get(endpoint);
-	return pace && now - pace.at < freshMilliseconds ? pace.tokenMilliseconds : undefined;
+	const latency = state.latencies.get(endpoint);
+	return latency && now - latency.at < maxSampleAgeMilliseconds ? latency.tokenMilliseconds : undefined;
 }
 
-/** True if the ejected endpoint is due a trickled request: nothing of ours runs there, and the last was long ago. */
+/** True if a probe request to the ejected endpoint is due: no request of this entry runs there, and the last one was long enough ago. */
 export function isProbeDue(side: {readonly inFlight: number; readonly lastReservedAt: number}, now: number): boolean {
 	return side.inFlight === 0 && now - side.lastReservedAt >= probeIntervalMilliseconds;
 }
--- a/test/policy/claims.test.ts
+++ b/test/policy/claims.test.ts
@@ -1,7 +1,10 @@
 import fc from 'fast-check';
 import tap from 'tap';
 import {v7 as uuidv7} from 'uuid';
-import {createResponseCache, createClaims, findResponse, foldClaims, holderOf, cacheResponse, keyWindowMilliseconds, largestAnswersBytes, parseClaimKey, type Claims} from '../../src/policy/claims/index.js';
+import {
+	createResponseCache, createClaims, findResponse, foldClaims, holderOf, cacheResponse,
+	keyWindowMilliseconds, maxResponseCacheBytes, parseClaimKey, type Claims,
+} from '../../src/policy/claims/index.js';
 
 const start = 1_800_000_000_000;
 type Step = {readonly type: 'claim' | 'release' | 'finish'; readonly key: string; readonly claim: string};
@@ -28,8 +31,8 @@
 	});
 }
 
-tap.test('a key changes hands only by its holder\'s release, and a released claim never holds again', async () => {
-	// Appends come late, twice or not at all, in any order. Two callers must never both read that they won.
+tap.test('only its holder\'s release frees a key, and a released claim never holds a key again', async () => {
+	// Appends arrive late, twice or not at all, in any order. Two callers must never both see that they won.
 	fc.assert(fc.property(fc.array(fc.array(step, {minLength: 1, maxLength: 3}), {maxLength: 20}), batches => {
 		let state = createClaims();
 		const released = new Set<string>();
@@ -45,16 +48,16 @@
 	}), {seed: 11, numRuns: 1000});
 });
 
-tap.test('readers of other pages, and of records read twice, find the same winners', async () => {
+tap.test('readers with different page sizes, and with records read twice, find the same winners', async () => {
 	fc.assert(fc.property(fc.array(fc.array(step, {minLength: 1, maxLength: 4}), {maxLength: 20}), fc.integer({min: 1, max: 7}), (batches, page) => {
 		const records = batches.map((steps, offset) => recordOf(steps, offset));
-		const atOnce = foldClaims(createClaims(), records);
+		const unpaged = foldClaims(createClaims(), records);
 		let paged = createClaims();
 		for (let from = 0; from < records.length; from += page) {
 			paged = foldClaims(paged, records.slice(Math.max(0, from - 2), from + page));
 		}
 
-		return JSON.stringify(holders(atOnce)) === JSON.stringify(holders(paged)) && atOnce.next === paged.next;
+		return JSON.stringify(holders(unpaged)) === JSON.stringify(holders(paged)) && unpaged.next === paged.next;
 	}), {seed: 12});
 });
 
@@ -67,7 +70,7 @@
 	}), {seed: 13});
 });
 
-tap.test('a claim that the log keeps outside the key\'s window is void, and old keys are dropped', async t => {
+tap.test('a claim with a log time outside the key\'s window is void, and old keys are dropped', async t => {
 	const late = foldClaims(createClaims(), [recordOf([{type: 'claim', key: 'k1', claim: 'c1'}], 0, start + keyWindowMilliseconds)]);
 	t.same(holders(late), [undefined, undefined]);
 	const inTime = foldClaims(createClaims(), [recordOf([{type: 'claim', key: 'k1', claim: 'c1'}], 0)]);
@@ -84,12 +87,12 @@
 	t.match(parsed, {type: 'key', key: {id: `hotel/${text}`, time: start}});
 });
 
-tap.test('kept answers stay within their bytes and their time', async t => {
-	const answer = (bytes: number) => ({status: 200, headers: {}, body: new Uint8Array(bytes)});
-	let state = cacheResponse(createResponseCache(), 'c1', answer(10), 0);
-	state = cacheResponse(state, 'c2', answer(largestAnswersBytes - 5), 1);
+tap.test('cached responses stay within the size limit and the lifetime', async t => {
+	const response = (bytes: number) => ({status: 200, headers: {}, body: new Uint8Array(bytes)});
+	let state = cacheResponse(createResponseCache(), 'c1', response(10), 0);
+	state = cacheResponse(state, 'c2', response(maxResponseCacheBytes - 5), 1);
 	t.equal(findResponse(state, 'c1', 2), undefined);
 	t.equal(findResponse(state, 'c2', 2)?.status, 200);
 	t.equal(findResponse(state, 'c2', 10 * 60_000), undefined);
-	t.equal(state.bytes, largestAnswersBytes - 5);
+	t.equal(state.bytes, maxResponseCacheBytes - 5);
 });
--- a/test/policy/folds.test.ts
+++ b/test/policy/folds.test.ts
@@ -1,17 +1,17 @@
 import fc from 'fast-check';
 import tap from 'tap';
 import {createFailure, type EndpointId, FailureKind, type InstanceId, Verdict} from '../../src/model/index.js';
-import {createMembership, standingOf, stepMembership, type Evidence} from '../../src/policy/membership/index.js';
+import {createMembership, membershipStatusOf, stepMembership, type Evidence} from '../../src/policy/membership/index.js';
 import {
 	createClearedRecord, createCrashRecord, createQuarantine, createReleasedRecord, fingerprintOf, foldQuarantine, evaluateFingerprint, listQuarantined, pruneQuarantine,
 	quarantineMilliseconds, Suspicion, type QuarantineRecord,
 } from '../../src/policy/quarantine/index.js';
-import {budgetAllows, createRetryBudget, decideRetry, floorPerSecond, largestBudget, stepRetryBudget} from '../../src/policy/retries/index.js';
+import {budgetAllows, createRetryBudget, decideRetry, minimumRetriesPerSecond, maxBudgetTokens, stepRetryBudget} from '../../src/policy/retries/index.js';
 import {createStragglers, isEjected, stepStragglers} from '../../src/policy/stragglers/index.js';
 
 const endpoint = 'e1' as EndpointId;
 
-tap.test('retries stay within a tenth of the requests, the floor and the initial budget', async () => {
+tap.test('retries stay within a tenth of the requests, the minimum rate and the initial budget', async () => {
 	fc.assert(fc.property(fc.array(fc.tuple(fc.boolean(), fc.nat(200)), {maxLength: 400}), sequence => {
 		let now = 0;
 		let budget = createRetryBudget(now);
@@ -28,11 +28,11 @@
 			}
 		}
 
-		return retries <= largestBudget + (requests / 10) + (now / 1000 * floorPerSecond);
+		return retries <= maxBudgetTokens + (requests / 10) + (now / 1000 * minimumRetriesPerSecond);
 	}), {seed: 1});
 });
 
-tap.test('a retry is refused by verdict, body, attempts, deadline and kind', async t => {
+tap.test('a retry is refused because of the verdict, a sent body, attempts, deadline, kind of failure or budget', async t => {
 	const budget = createRetryBudget(0);
 	const attempt = {failure: createFailure(FailureKind.endpointLost, 'lost', {verdict: Verdict.mayHaveRun}), attempts: 1, idempotent: true, isBodySent: true, deadline: 1000};
 	t.same(decideRetry(budget, attempt, 0.5, 0), {type: 'retry', afterMilliseconds: 0, free: false});
@@ -46,7 +46,7 @@
 	t.same(decideRetry({tokens: 0, at: 0}, preempted, 0.5, 0), {type: 'retry', afterMilliseconds: 0, free: true});
 });
 
-tap.test('however slow they look, at most a third of the peers is set aside', async () => {
+tap.test('at most a third of the peers is ejected, however slow they are', async () => {
 	const names = ['a', 'b', 'c', 'd', 'e', 'f', 'g'] as EndpointId[];
 	const progressed = fc.tuple(fc.constantFrom(...names), fc.integer({min: 1, max: 100}), fc.nat(100_000));
 	fc.assert(fc.property(fc.array(progressed, {maxLength: 200}), fc.integer({min: 1, max: 7}), (sequence, count) => {
@@ -70,9 +70,9 @@
 	fc.record({type: fc.constant('listed' as const), members: fc.array(fc.record({endpoint: fc.constant(endpoint), instance: fc.constantFrom(...instances), leaving: fc.boolean()}), {maxLength: 1})}),
 );
 
-tap.test('after a side said that it leaves, nothing but a later incarnation makes it usable', async () => {
-	// The list is a minute behind and names the side as live; a delayed "serving" arrives late and twice.
-	// The caller's request must not be sent there, whatever the order.
+tap.test('after a side announced its shutdown, only a later incarnation makes its endpoint usable', async () => {
+	// The list lags by a minute and names the side as live; a delayed "serving" arrives late and twice.
+	// No request may be sent there, whatever the order of the evidence.
 	fc.assert(fc.property(fc.array(evidence, {maxLength: 20}), fc.array(evidence, {maxLength: 20}), (before, after) => {
 		let state = createMembership();
 		const last: Evidence = {type: 'said', endpoint, instance: instances[1]!, phase: 'leaving', sequence: 3};
@@ -80,11 +80,11 @@
 			state = stepMembership(state, item);
 		}
 
-		return standingOf(state, endpoint)?.usable === false;
+		return membershipStatusOf(state, endpoint)?.isUsable === false;
 	}), {seed: 3, numRuns: 500});
 });
 
-tap.test('a side that is connected and serves is usable, whatever the list says', async t => {
+tap.test('an endpoint whose side is connected and serving is usable, whatever the list says', async t => {
 	let state = createMembership();
 	for (const item of [
 		{type: 'connected', endpoint, instance: instances[0]!},
@@ -94,11 +94,11 @@
 		state = stepMembership(state, item);
 	}
 
-	t.ok(standingOf(state, endpoint)?.usable);
+	t.ok(membershipStatusOf(state, endpoint)?.isUsable);
 	state = stepMembership(state, {type: 'listed', members: [{endpoint, instance: instances[0]!, leaving: true}]});
-	t.ok(standingOf(state, endpoint)?.usable);
+	t.ok(membershipStatusOf(state, endpoint)?.isUsable);
 	state = stepMembership(state, {type: 'broken', endpoint, instance: instances[0]!});
-	t.match(standingOf(state, endpoint), {usable: false, reason: 'connection-broken'});
+	t.match(membershipStatusOf(state, endpoint), {isUsable: false, reason: 'connection-broken'});
 });
 
 const record: fc.Arbitrary<QuarantineRecord> = fc.oneof(
@@ -110,8 +110,8 @@
 	fc.record({type: fc.constant('released' as const), fingerprint: fc.constantFrom('f1', 'f2'), operator: fc.constant('op'), crashes: fc.subarray(['c1', 'c2', 'c3']), time: fc.nat(1000)}),
 );
 
-tap.test('quarantine is the same whatever the order of the records and however often they come', async () => {
-	const judge = (records: readonly QuarantineRecord[]) => {
+tap.test('the quarantine state does not depend on the order of the records or on repetitions', async () => {
+	const evaluate = (records: readonly QuarantineRecord[]) => {
 		let state = createQuarantine();
 		for (const one of records) {
 			state = foldQuarantine(state, one);
@@ -120,16 +120,16 @@
 		return ['f1', 'f2', 'f3'].map(fingerprint => evaluateFingerprint(state, fingerprint, 2000));
 	};
 
-	const sorted = (records: readonly QuarantineRecord[]) => JSON.stringify(judge(records).map(({suspicion, crashes}) => [suspicion, crashes.map(({crash}) => crash).toSorted()]));
+	const summarize = (records: readonly QuarantineRecord[]) => JSON.stringify(evaluate(records).map(({suspicion, crashes}) => [suspicion, crashes.map(({crash}) => crash).toSorted()]));
 	fc.assert(fc.property(fc.array(record, {maxLength: 12}), fc.infiniteStream(fc.double({min: 0, max: 1, noNaN: true})), (records, draws) => {
 		const again = [...records, ...records].map(one => ({one, key: draws.next().value as number})).toSorted((left, right) => left.key - right.key).map(({one}) => one);
-		return sorted(records) === sorted(again);
+		return summarize(records) === summarize(again);
 	}), {seed: 4, numRuns: 500});
 });
 
-tap.test('a poison request is quarantined at its second crash, and the innocents beside it are not', async t => {
-	// A request kills the endpoint that runs it; two innocents ran beside it. The caller sends it again:
-	// it is tried once more, kills a second endpoint beside a third innocent, and is refused from then on.
+tap.test('a poison request is quarantined at its second crash, and unrelated requests that ran beside it are not', async t => {
+	// A request crashes the endpoint that runs it, beside two unrelated requests. The caller sends it again:
+	// it runs once more, crashes a second endpoint beside a third unrelated request, and is refused from then on.
 	let state = foldQuarantine(createQuarantine(), createCrashRecord('side-1' as InstanceId, endpoint, ['poison', 'menu', 'chart'], 1000));
 	t.equal(evaluateFingerprint(state, 'menu', 1100).suspicion, Suspicion.suspect);
 	state = foldQuarantine(state, createClearedRecord('menu', evaluateFingerprint(state, 'menu', 1100), 1200));
@@ -145,7 +145,7 @@
 	t.equal(evaluateFingerprint(released, 'poison', 2600).suspicion, Suspicion.none);
 });
 
-tap.test('a fingerprint outlives changed ids and layout, and tells small numbers apart', async t => {
+tap.test('a fingerprint ignores changed ids and layout, and distinguishes small numbers', async t => {
 	const print = (body: unknown, workspace = 'hotel') => fingerprintOf(workspace as never, '/v1/chat/completions', typeof body === 'string' ? body : JSON.stringify(body));
 	const first = print({model: 'm', user: 'a', messages: [{role: 'user', content: 'order 0191d5a2-7b1c-7aaa-8bbb-123456789abc for table 12'}]});
 	t.equal(first, print('{ "messages": [{"content": "order 0191d5a2-7b1c-7aaa-8bbb-ffffffffffff  for table 12", "role": "user"}], "model": "m", "user": "b", "metadata": {"try": 2}}'));
