--- a/src/model/identifiers.ts
+++ b/src/model/identifiers.ts
@@ -2,22 +2,22 @@
 import {v7 as uuidv7} from 'uuid';
 
 /** Names are branded strings, so that a workspace can't be passed where an endpoint is meant. */
-type Name<Kind extends string> = string & {readonly __kind: Kind};
+type Branded<Kind extends string> = string & {readonly __kind: Kind};
 
 /** One caller request, unique for ever; a UUIDv7, so it sorts by arrival. */
-export type RequestId = Name<'request'>;
+export type RequestId = Branded<'request'>;
 /** One running process of the system, unique for one incarnation of it. */
-export type InstanceId = Name<'instance'>;
+export type InstanceId = Branded<'instance'>;
 /** A back end: a model engine or a plain service, which one side process serves. */
-export type EndpointId = Name<'endpoint'>;
+export type EndpointId = Branded<'endpoint'>;
 /** A customer, whose keys, classes and fair share stand in the catalogue. */
-export type WorkspaceName = Name<'workspace'>;
+export type WorkspaceName = Branded<'workspace'>;
 /** A class of requests of one workspace. */
-export type ClassName = Name<'class'>;
+export type ClassName = Branded<'class'>;
 /** An availability zone, as the settings name it. */
-export type ZoneName = Name<'zone'>;
+export type ZoneName = Branded<'zone'>;
 /** A model or a plain service: what a request wants to be run by. */
-export type TargetName = Name<'target'>;
+export type TargetName = Branded<'target'>;
 
 /** A service tier: 0 is served first. Lower numbers are higher tiers. */
 export const Tier = {highest: 0, middle: 1, lowest: 2} as const;
--- a/src/policy/membership/index.ts
+++ b/src/policy/membership/index.ts
@@ -112,8 +112,8 @@
 	return known && evaluate(known);
 }
 
-function evaluate({instance, announcement: word, connection, listed}: EndpointEvidence): MembershipStatus {
-	if (word?.phase === 'leaving') {
+function evaluate({instance, announcement, connection, listed}: EndpointEvidence): MembershipStatus {
+	if (announcement?.phase === 'leaving') {
 		return {instance, isUsable: false, leaving: true, shouldDial: false, reason: 'said-leaving'};
 	}
 
@@ -121,10 +121,10 @@
 		return {instance, isUsable: false, leaving: listed === 'leaving', shouldDial: true, reason: 'connection-broken'};
 	}
 
-	if (word) {
-		const usable = word.phase === 'serving' && connection === 'up';
-		const reason = word.phase === 'down' ? 'said-down' : (usable ? 'serving' : 'not-connected');
-		return {instance, isUsable: usable, leaving: false, shouldDial: connection !== 'up', reason};
+	if (announcement) {
+		const isUsable = announcement.phase === 'serving' && connection === 'up';
+		const reason = announcement.phase === 'down' ? 'said-down' : (isUsable ? 'serving' : 'not-connected');
+		return {instance, isUsable, leaving: false, shouldDial: connection !== 'up', reason};
 	}
 
 	if (listed === 'leaving') {
--- a/src/routing/endpoint-directory.ts
+++ b/src/routing/endpoint-directory.ts
@@ -1,129 +1,130 @@
 import {isAfterPosition, type LogPosition} from '../model/index.js';
-import {addRegistered, newestPlace, outlivesRemoval, type Registered, type Registrations} from './registrations.js';
+import {addRegistration, newestPosition, isRegisteredAfterRemoval, type Registration, type Registrations} from './registrations.js';
 import {type EndpointRecord} from './routing-table.js';
 
-/** One change of the list of endpoints, with its place in the store's log. */
+/** A change to the list of endpoints, with its position in the store's log. */
 export type EndpointChange
 	= | (LogPosition & {readonly type: 'registered'; readonly record: EndpointRecord})
 		| (LogPosition & {readonly type: 'removed'; readonly id: string});
 
-/** How far an endpoint may be used. */
+/** Whether an endpoint may be used: `ready` without restriction, `lastResort` only if no ready one is left, `gone` not at all. */
 export const EndpointStatus = {ready: 'ready', lastResort: 'last-resort', gone: 'gone'} as const;
 export type EndpointStatus = (typeof EndpointStatus)[keyof typeof EndpointStatus];
 
-/** What is known of one endpoint. Times are the monotonic clock in milliseconds. */
+/** The state of one endpoint. Times are milliseconds of the monotonic clock. */
 export type EndpointEntry = {
 	readonly record: EndpointRecord;
-	/** Where this incarnation was registered, whatever its revision. */
+	/** The log positions at which this incarnation was registered, whatever its revision. */
 	readonly registrations: Registrations;
-	/** Set once it left or its record went; an incarnation that said it leaves never comes back. */
+	/** Set once the endpoint shut down or its record was removed; an incarnation that announced its shutdown never becomes usable again. */
 	readonly endedAt?: number | undefined;
-	/** Set while the store has come back from a copy that doesn't name it: it counts as registered until then. */
+	/** Set while a store that was restored from a backup doesn't name the endpoint: it counts as registered until this time. */
 	readonly unconfirmedUntil?: number | undefined;
 };
 
-/** The newest removal of an id, and when it was heard of. */
-type Removal = LogPosition & {readonly at: number};
+/** The newest removal of an id, and the time at which this instance learned of it. */
+type Tombstone = LogPosition & {readonly at: number};
 
 /**
- * Failure: the store forgets endpoints that could not reach it, and with them a whole service.
- * Symptom: each request is refused although the endpoints serve. An ended endpoint therefore stays
- * a last resort for a while: shorter than the two seconds in which those that are well are back.
+ * The store drops endpoints that could not reach it, and possibly all endpoints of a service. Each request would then
+ * be refused although the endpoints serve. An ended endpoint therefore remains
+ * a last resort for this time: shorter than the two seconds within which healthy endpoints have registered again.
  */
 export const lastResortMilliseconds = 1200;
 /**
- * One that said itself that it leaves: with the time between two readings of the store that is inside the
- * shortest drain, two seconds.
+ * The same for an endpoint that announced its own shutdown: together with the interval between two polls of the store, this is within the
+ * shortest drain time, two seconds.
  */
 export const leavingLastResortMilliseconds = 300;
-/** An ended endpoint is remembered so long, so that an old record can't bring it back. */
-export const memoryMilliseconds = 120_000;
+/** For how long ended endpoints and tombstones are kept, so that an old record can't restore an endpoint. */
+export const tombstoneMilliseconds = 120_000;
 /**
- * Failure: the store comes back from a copy, and the endpoints that registered since are not in it. Symptom: a whole
- * service counts as ended though all of it serves. Endpoints register again within about two seconds, and one of the instances reads them
- * within three more; the rest is for a slow store. Whether it answers is seen meanwhile by its health, like any other's.
+ * The grace period of unconfirmed endpoints. After a restore from a backup the store lacks the endpoints that registered since the backup.
+ * Without the grace period a whole service would count as ended although all its endpoints serve. Endpoints register again within about
+ * two seconds, and one of the instances polls them within three more; the rest allows for a slow store. Whether an unconfirmed endpoint
+ * responds is determined by its health, as for any other.
  */
-export const trustMilliseconds = 8000;
+export const unconfirmedMilliseconds = 8000;
 
-type State = {readonly entries: ReadonlyMap<string, EndpointEntry>; readonly removals: ReadonlyMap<string, Removal>; readonly era: number};
+type State = {readonly entries: ReadonlyMap<string, EndpointEntry>; readonly tombstones: ReadonlyMap<string, Tombstone>; readonly era: number};
 
 /**
- * The endpoints that registered, as an immutable value. Changes may come twice and out of order, from
- * the store and from peers; whatever their order, the same changes lead to the same endpoints. Of one id, a
- * younger incarnation goes before an older one, then a higher revision, then a later place in the store.
+ * The registered endpoints, as an immutable value. Changes may arrive twice and out of order, from
+ * the store and from peers; the same changes lead to the same endpoints in whatever order. Of the records of one id,
+ * a later incarnation takes precedence, then a higher revision, then a later position in the store's log.
  *
- * Failure: an endpoint crashes and starts again under its id, counting its revisions anew. Symptom: its records look
- * old and it is never used again; or its load and kept prompts are believed to live on.
+ * An endpoint that crashes and restarts under its id counts its revisions from the start. Without the comparison of incarnations
+ * its records would appear old and it would never be used again, or its previous load and cached prompts would count as still present.
  */
 export class EndpointDirectory {
 	static create(): EndpointDirectory {
-		return new EndpointDirectory({entries: new Map(), removals: new Map(), era: 0});
+		return new EndpointDirectory({entries: new Map(), tombstones: new Map(), era: 0});
 	}
 
 	readonly entries: ReadonlyMap<string, EndpointEntry>;
-	/** The newest era of the store that any change came from. */
+	/** The newest era of the store in any change so far. An era is the store's generation number; it rises with each restore from a backup. */
 	readonly era: number;
-	readonly #removals: ReadonlyMap<string, Removal>;
+	readonly #tombstones: ReadonlyMap<string, Tombstone>;
 
-	private constructor({entries, removals, era}: State) {
+	private constructor({entries, tombstones, era}: State) {
 		this.entries = entries;
 		this.era = era;
-		this.#removals = removals;
+		this.#tombstones = tombstones;
 	}
 
-	/** The directory after some changes; the same object if none of them says anything new. */
+	/** The directory after some changes; the same object if none of them adds anything. */
 	apply(changes: readonly EndpointChange[], now: number): EndpointDirectory {
 		const entries = new Map(this.entries);
-		const removals = new Map(this.#removals);
+		const tombstones = new Map(this.#tombstones);
 		let {era} = this;
 		let isChanged = false;
 		for (const change of changes) {
 			era = Math.max(era, change.era);
 			const id = change.type === 'registered' ? change.record.id : change.id;
-			const held = entries.get(id);
-			const removal = removals.get(id);
-			if (change.type === 'removed' && (removal === undefined || isAfterPosition(change, removal))) {
-				removals.set(id, {era: change.era, offset: change.offset, at: now});
+			const current = entries.get(id);
+			const tombstone = tombstones.get(id);
+			if (change.type === 'removed' && (tombstone === undefined || isAfterPosition(change, tombstone))) {
+				tombstones.set(id, {era: change.era, offset: change.offset, at: now});
 				isChanged = true;
 			}
 
-			const newest = change.type === 'registered' ? newer(held, change) : held;
-			const next = newest === undefined ? undefined : withEnd(newest, removals.get(id), now);
-			if (next !== undefined && next !== held) {
+			const merged = change.type === 'registered' ? mergeRecord(current, change) : current;
+			const next = merged === undefined ? undefined : withEndState(merged, tombstones.get(id), now);
+			if (next !== undefined && next !== current) {
 				entries.set(id, next);
 				isChanged = true;
 			}
 		}
 
-		return isChanged || era > this.era ? new EndpointDirectory({entries: withTrust(entries, era, now), removals, era}) : this;
+		return isChanged || era > this.era ? new EndpointDirectory({entries: withGracePeriod(entries, era, now), tombstones, era}) : this;
 	}
 
-	/** Takes a whole reading of the store, made in an era: ends every endpoint that it no longer names, unless the era is newer than all word of it. */
+	/** Applies a snapshot of the store: ends every endpoint that it no longer names, unless the snapshot's era is newer than all registrations of the endpoint. */
 	applySnapshot(ids: ReadonlySet<string>, era: number, now: number): EndpointDirectory {
 		const missing = [...this.entries.values()].filter(({record, endedAt}) => endedAt === undefined && !ids.has(record.id));
-		const ended = missing.filter(({registrations}) => newestPlace(registrations).era >= era);
+		const ended = missing.filter(({registrations}) => newestPosition(registrations).era >= era);
 		const after = this.apply(ended.map(({record, registrations}): EndpointChange => ({type: 'removed', ...positionOf(registrations), id: record.id})), now);
-		return era > after.era ? new EndpointDirectory({entries: withTrust(after.entries, era, now), removals: after.#removals, era}) : after;
+		return era > after.era ? new EndpointDirectory({entries: withGracePeriod(after.entries, era, now), tombstones: after.#tombstones, era}) : after;
 	}
 
-	/** Those that are used though the store, come back from a copy, doesn't name them. */
+	/** Endpoints in their grace period: used although the restored store doesn't name them. */
 	unconfirmed(now: number): readonly EndpointEntry[] {
 		return [...this.entries.values()].filter(({endedAt, unconfirmedUntil}) => endedAt === undefined && unconfirmedUntil !== undefined && now < unconfirmedUntil);
 	}
 
-	/** Forgets what ended long ago. */
+	/** Drops endpoints that ended, and tombstones that were created, more than `tombstoneMilliseconds` ago. */
 	prune(now: number): EndpointDirectory {
-		const kept = [...this.entries].filter(([, entry]) => now - (endOf(entry) ?? now) < memoryMilliseconds);
-		const removals = [...this.#removals].filter(([, {at}]) => now - at < memoryMilliseconds);
-		return kept.length === this.entries.size && removals.length === this.#removals.size
+		const kept = [...this.entries].filter(([, entry]) => now - (endTimeOf(entry) ?? now) < tombstoneMilliseconds);
+		const tombstones = [...this.#tombstones].filter(([, {at}]) => now - at < tombstoneMilliseconds);
+		return kept.length === this.entries.size && tombstones.length === this.#tombstones.size
 			? this
-			: new EndpointDirectory({entries: new Map(kept), removals: new Map(removals), era: this.era});
+			: new EndpointDirectory({entries: new Map(kept), tombstones: new Map(tombstones), era: this.era});
 	}
 }
 
 /** Whether an endpoint may be used now. */
 export function endpointStatusOf(entry: EndpointEntry, now: number): EndpointStatus {
-	const end = endOf(entry);
+	const end = endTimeOf(entry);
 	if (end === undefined || now < end) {
 		return EndpointStatus.ready;
 	}
@@ -132,45 +133,45 @@
 	return now - end < resortMilliseconds ? EndpointStatus.lastResort : EndpointStatus.gone;
 }
 
-/** True if one record is of a younger incarnation than another; one that doesn't tell its start is older than any that does. */
+/** True if the first record is of a later incarnation than the second; a record without a start time is older than any with one. */
 export function isLaterIncarnation({bornAt}: EndpointRecord, {bornAt: other}: EndpointRecord): boolean {
 	return (bornAt ?? -Infinity) > (other ?? -Infinity);
 }
 
-/** The newest place at which an endpoint is known to be registered. */
+/** The newest position at which an endpoint is known to be registered. */
 export function positionOf(registrations: Registrations): LogPosition {
-	const {era, offset} = newestPlace(registrations);
+	const {era, offset} = newestPosition(registrations);
 	return {era, offset};
 }
 
-function endOf({endedAt, unconfirmedUntil}: EndpointEntry): number | undefined {
+function endTimeOf({endedAt, unconfirmedUntil}: EndpointEntry): number | undefined {
 	return endedAt ?? unconfirmedUntil;
 }
 
-/** What stands after one more record; the same object if it says nothing new. */
-function newer(held: EndpointEntry | undefined, {record, era, offset}: Extract<EndpointChange, {type: 'registered'}>): EndpointEntry {
-	const registered: Registered = {era, offset, revision: record.revision};
-	if (held === undefined || isLaterIncarnation(record, held.record)) {
-		return {record, registrations: [registered]};
+/** An endpoint's state after one more record; the same object if the record adds nothing. */
+function mergeRecord(current: EndpointEntry | undefined, {record, era, offset}: Extract<EndpointChange, {type: 'registered'}>): EndpointEntry {
+	const registration: Registration = {era, offset, revision: record.revision};
+	if (current === undefined || isLaterIncarnation(record, current.record)) {
+		return {record, registrations: [registration]};
 	}
 
-	if (isLaterIncarnation(held.record, record)) {
-		return held;
+	if (isLaterIncarnation(current.record, record)) {
+		return current;
 	}
 
-	const isNewer = record.revision > held.record.revision || (record.revision === held.record.revision && isAfterPosition(registered, newestPlace(held.registrations)));
-	const isLeaving = held.record.isLeaving || record.isLeaving;
-	const registrations = addRegistered(held.registrations, registered);
-	if (registrations === held.registrations && isLeaving === held.record.isLeaving) {
-		return held;
+	const isNewer = record.revision > current.record.revision || (record.revision === current.record.revision && isAfterPosition(registration, newestPosition(current.registrations)));
+	const isLeaving = current.record.isLeaving || record.isLeaving;
+	const registrations = addRegistration(current.registrations, registration);
+	if (registrations === current.registrations && isLeaving === current.record.isLeaving) {
+		return current;
 	}
 
-	return {...held, record: {...(isNewer ? record : held.record), isLeaving}, registrations};
+	return {...current, record: {...(isNewer ? record : current.record), isLeaving}, registrations};
 }
 
-/** Ended is what leaves, and what was removed after its newest record. */
-function withEnd(entry: EndpointEntry, removal: Removal | undefined, now: number): EndpointEntry {
-	const hasEnded = entry.record.isLeaving || (removal !== undefined && !outlivesRemoval(entry.registrations, removal));
+/** Sets or clears `endedAt`: an endpoint has ended if it is shutting down, or was removed after its newest record. */
+function withEndState(entry: EndpointEntry, tombstone: Tombstone | undefined, now: number): EndpointEntry {
+	const hasEnded = entry.record.isLeaving || (tombstone !== undefined && !isRegisteredAfterRemoval(entry.registrations, tombstone));
 	if (hasEnded === (entry.endedAt !== undefined)) {
 		return entry;
 	}
@@ -178,11 +179,11 @@
 	return {...entry, endedAt: hasEnded ? now : undefined};
 }
 
-/** Whoever has no record in the newest era is trusted for a while, from when that era was first heard of. */
-function withTrust(entries: ReadonlyMap<string, EndpointEntry>, era: number, now: number): ReadonlyMap<string, EndpointEntry> {
+/** Starts the grace period of endpoints without a record in the newest era, counted from when this era was first seen. */
+function withGracePeriod(entries: ReadonlyMap<string, EndpointEntry>, era: number, now: number): ReadonlyMap<string, EndpointEntry> {
 	return new Map(Array.from(entries, ([id, entry]) => {
-		const isNamed = newestPlace(entry.registrations).era >= era;
-		const unconfirmedUntil = isNamed ? undefined : entry.unconfirmedUntil ?? now + trustMilliseconds;
+		const isNamed = newestPosition(entry.registrations).era >= era;
+		const unconfirmedUntil = isNamed ? undefined : entry.unconfirmedUntil ?? now + unconfirmedMilliseconds;
 		return [id, unconfirmedUntil === entry.unconfirmedUntil ? entry : {...entry, unconfirmedUntil}];
 	}));
 }
--- a/src/routing/index.ts
+++ b/src/routing/index.ts
@@ -1,4 +1,4 @@
-/** What the operator published and which endpoints registered: values without I/O. */
+/** The routing table that the operator published and the directory of registered endpoints: values without I/O. */
 export * from './routing-table.js';
 export * from './endpoint-directory.js';
 export * from './registrations.js';
--- a/src/routing/registrations.ts
+++ b/src/routing/registrations.ts
@@ -1,40 +1,40 @@
 import {isAfterPosition, type LogPosition} from '../model/index.js';
 
-/** The newest place in one era at which an incarnation was registered, and the highest revision there. */
-export type Registered = LogPosition & {readonly revision: number};
+/** The newest position in one era at which an incarnation was registered, and its highest revision in that era. */
+export type Registration = LogPosition & {readonly revision: number};
 
-/** Where an incarnation was registered, one for each era, the oldest first; never empty. */
-export type Registrations = readonly Registered[];
+/** The registrations of an incarnation, one for each era, the oldest first; never empty. */
+export type Registrations = readonly Registration[];
 
-/** Eras that are remembered of one incarnation: the store comes back from a copy in drills, not by the minute. */
-const mostEras = 3;
+/** Number of eras kept for one incarnation: the store is restored from a backup only in drills, not every few minutes. */
+const maxEras = 3;
 
-/** With one more record of the incarnation; the same object if it says nothing new. */
-export function addRegistered(registrations: Registrations, {era, offset, revision}: Registered): Registrations {
-	const held = registrations.find(one => one.era === era);
-	if (held !== undefined && held.offset >= offset && held.revision >= revision) {
+/** The registrations after one more record of the incarnation; the same object if the record adds nothing. */
+export function addRegistration(registrations: Registrations, {era, offset, revision}: Registration): Registrations {
+	const existing = registrations.find(one => one.era === era);
+	if (existing !== undefined && existing.offset >= offset && existing.revision >= revision) {
 		return registrations;
 	}
 
-	const merged = {era, offset: Math.max(offset, held?.offset ?? offset), revision: Math.max(revision, held?.revision ?? revision)};
-	return [...registrations.filter(one => one.era !== era), merged].toSorted((left, right) => left.era - right.era).slice(-mostEras);
+	const merged = {era, offset: Math.max(offset, existing?.offset ?? offset), revision: Math.max(revision, existing?.revision ?? revision)};
+	return [...registrations.filter(one => one.era !== era), merged].toSorted((left, right) => left.era - right.era).slice(-maxEras);
 }
 
-/** The newest place of all. */
-export function newestPlace(registrations: Registrations): LogPosition {
+/** The newest position over all eras. */
+export function newestPosition(registrations: Registrations): LogPosition {
 	return registrations.at(-1)!;
 }
 
 /**
- * Whether an incarnation is registered although its record was removed somewhere. In the removal's own era a later record says so.
+ * Whether an incarnation is registered in spite of a removal of its record. In the era of the removal, it is if a later record exists.
  *
- * Failure: an endpoint's record was removed, the store comes back from a copy that still has it, and it counts as registered again.
- * Symptom: requests go to an endpoint that has ended. A later era brings it back only by a revision that the endpoint can't have written
+ * In a later era, the store may have been restored from a backup that still has the removed record; if this counted as a registration,
+ * requests would go to an endpoint that has ended. A later era therefore counts only with a revision that the endpoint can't have written
  * before the removal.
  */
-export function outlivesRemoval(registrations: Registrations, removal: LogPosition): boolean {
-	const before = Math.max(-Infinity, ...registrations.filter(({era}) => era <= removal.era).map(({revision}) => revision));
-	return registrations.some(registered => registered.era === removal.era
-		? isAfterPosition(registered, removal)
-		: registered.era > removal.era && registered.revision > before);
+export function isRegisteredAfterRemoval(registrations: Registrations, tombstone: LogPosition): boolean {
+	const maxRevisionBefore = Math.max(-Infinity, ...registrations.filter(({era}) => era <= tombstone.era).map(({revision}) => revision));
+	return registrations.some(registration => registration.era === tombstone.era
+		? isAfterPosition(registration, tombstone)
+		: registration.era > tombstone.era && registration.revision > maxRevisionBefore);
 }
--- a/src/routing/routing-table.ts
+++ b/src/routing/routing-table.ts
@@ -1,61 +1,61 @@
 import {type WorkspaceName, type ZoneName} from '../model/index.js';
 import {type UrgencyPair, UrgencyRanks} from './urgency-ranks.js';
 
-/** What may be repeated: `safe` may run more than once; a stream only if its route says `resumable`. */
+/** Which requests may be retried: `safe` ones may run more than once; a stream only if its route is `resumable`. */
 export const RouteKind = {safe: 'safe', unsafe: 'unsafe', stream: 'stream'} as const;
 export type RouteKind = (typeof RouteKind)[keyof typeof RouteKind];
 
-/** A part of a route's traffic that goes to one service. */
+/** The part of a route's traffic that goes to one service. */
 export type ServiceShare = {readonly service: string; readonly weight: number};
 
-/** Where requests of one host and path prefix go, and what is promised for them. */
+/** The services to which requests of one host and path prefix go, and the service level for them. */
 export type Route = {
 	readonly name: string;
-	/** In lower case, without a port. */
+	/** In lower case and without a port. */
 	readonly host: string;
 	/** Begins and ends with a slash. */
 	readonly pathPrefix: string;
 	readonly kind: RouteKind;
-	/** True if a stream may be continued at another endpoint after its last whole event. */
+	/** True if a stream may be resumed at another endpoint after its last complete event. */
 	readonly resumable: boolean;
 	readonly shares: readonly ServiceShare[];
-	/** The longest that a caller may be kept waiting for the end of its answer. */
+	/** The longest time that a caller may have to wait for the end of its response. */
 	readonly timeoutMilliseconds: number;
-	/** The first byte, or first event, within this time earns the full value. */
+	/** A response counts fully if its first byte, or first event, arrives within this time. */
 	readonly targetMilliseconds: number;
 	/** 0 is the most urgent. */
 	readonly urgency: number;
-	/** Endpoints that one request may be sent to. */
+	/** Maximum number of endpoints to which one request may be sent. */
 	readonly largestAttempts: number;
 	readonly isPublic: boolean;
-	/** The longest pause between events that is still on time; absent for what is not a stream. */
+	/** The longest pause between events that is still on time; absent for routes that are not streams. */
 	readonly longestPauseMilliseconds?: number | undefined;
 };
 
-/** A model engine's figures, where the service is one. */
+/** The parameters of a service's engines, if the service is a model. */
 export type EngineParameters = {
 	readonly slots: number;
-	/** Tokens that fit into its memory, running requests and cached parts together. */
+	/** Tokens that fit into its memory, for running requests and cached prompt parts together. */
 	readonly memoryTokens: number;
-	/** Tokens in one event of a stream. */
+	/** Tokens per event of a stream. */
 	readonly tokensPerEvent: number;
-	/** Absent where engines do not pass kept prompts to each other. */
+	/** Absent if engines do not transfer cached prompt parts to each other. */
 	readonly transfer?: TransferParameters | undefined;
-	/** True if an engine tells which prompt parts it keeps. */
+	/** True if an engine reports which prompt parts it has cached. */
 	readonly listsKept?: boolean | undefined;
 };
 
-/** How engines of a service pass memory to each other. */
+/** The parameters of cache transfers between the engines of a service. */
 export type TransferParameters = {readonly bytesPerToken: number; readonly megabitsPerSecond: number};
 
 export type Service = {
 	readonly name: string;
-	/** Connections that one endpoint takes from all callers together. */
+	/** Maximum number of connections that one endpoint accepts from all callers together. */
 	readonly largestConnections: number;
 	readonly engine?: EngineParameters | undefined;
 };
 
-/** What a caller may send, and how long it may take or stay idle. */
+/** Limits on what a caller may send, and on how long it may take or stay idle. */
 export type CallerLimits = {
 	readonly headerBytes: number;
 	readonly bodyBytes: number;
@@ -66,7 +66,7 @@
 export type Workspace = {
 	readonly name: WorkspaceName;
 	readonly keys: readonly string[];
-	/** Goes before the route's urgency. */
+	/** Takes precedence over the route's urgency. */
 	readonly urgency?: number | undefined;
 };
 
@@ -74,19 +74,19 @@
 	readonly version: number;
 	readonly routes: readonly Route[];
 	readonly services: readonly Service[];
-	/** Absent where callers need no key. */
+	/** Absent if callers need no key. */
 	readonly workspaces?: readonly Workspace[] | undefined;
 	readonly limits: CallerLimits;
 };
 
-/** Whether a key opens a route, and for whom. */
+/** Whether a key gives access to a route, and for which workspace. */
 export type Access
 	= | {readonly type: 'allowed'; readonly workspace: Workspace | undefined}
 		| {readonly type: 'unknown-key'};
 
 /**
- * One version of what the operator published, whole and immutable. A table is replaced, never
- * changed, so that each request is judged by exactly one version.
+ * One complete, immutable version of the routing configuration that the operator published. A table is replaced, never
+ * changed, so that each request is handled by exactly one version.
  */
 export class RoutingTable {
 	static create(input: RoutingTableInput): RoutingTable {
@@ -99,7 +99,7 @@
 	readonly #routesByHost = new Map<string, Route[]>();
 	readonly #services = new Map<string, Service>();
 	readonly #workspaceByKey = new Map<string, Workspace>();
-	/** The shortest and longest of the pauses that a service's streams must keep. */
+	/** The shortest and the longest of the pause limits of a service's streams. */
 	readonly #pauses = new Map<string, {shortest: number; longest: number}>();
 	readonly #ranks = new Map<string, UrgencyRanks>();
 	readonly #urgencies = new Map<string, {readonly most: number; readonly least: number}>();
@@ -112,9 +112,9 @@
 		this.#needsKeys = workspaces !== undefined;
 		// Longest prefix first, so that the first match is the right one.
 		for (const route of routes.toSorted((left, right) => right.pathPrefix.length - left.pathPrefix.length)) {
-			const ofHost = this.#routesByHost.get(route.host) ?? [];
-			ofHost.push(route);
-			this.#routesByHost.set(route.host, ofHost);
+			const routesOfHost = this.#routesByHost.get(route.host) ?? [];
+			routesOfHost.push(route);
+			this.#routesByHost.set(route.host, routesOfHost);
 		}
 
 		for (const service of services) {
@@ -122,12 +122,12 @@
 		}
 
 		for (const route of routes) {
-			this.#notePause(route);
+			this.#recordPause(route);
 		}
 
-		const ofWorkspaces = [...new Set(workspaces?.map(({urgency}) => urgency))];
+		const workspaceUrgencies = [...new Set(workspaces?.map(({urgency}) => urgency))];
 		for (const {name} of services) {
-			this.#noteRanks(name, ofWorkspaces);
+			this.#recordRanks(name, workspaceUrgencies);
 		}
 
 		for (const workspace of workspaces ?? []) {
@@ -137,7 +137,7 @@
 		}
 	}
 
-	/** The route of the longest prefix that begins the path, the query not counted. */
+	/** The route with the longest path prefix that matches the path; `path` excludes the query. */
 	findRoute(host: string, path: string): Route | undefined {
 		return this.#routesByHost.get(hostName(host))?.find(route => path.startsWith(route.pathPrefix));
 	}
@@ -146,29 +146,29 @@
 		return this.#services.get(name);
 	}
 
-	/** Judges a caller's key for a route. */
+	/** Checks a caller's key for a route. */
 	access(route: Route, key: string | undefined): Access {
 		const workspace = key === undefined ? undefined : this.#workspaceByKey.get(key);
 		return workspace === undefined && this.#needsKeys && !route.isPublic ? {type: 'unknown-key'} : {type: 'allowed', workspace};
 	}
 
-	/** True for streams whose pauses must be clearly shorter than those of others at the same service. */
+	/** True if the route's streams are latency-critical: they have the strictest pause limit of the service, and another is clearly longer. */
 	isLatencyCritical(route: Route, service: string): boolean {
 		const pauses = this.#pauses.get(service);
-		return pauses !== undefined && route.longestPauseMilliseconds === pauses.shortest && pauses.longest >= pauses.shortest * clearlyLonger;
+		return pauses !== undefined && route.longestPauseMilliseconds === pauses.shortest && pauses.longest >= pauses.shortest * distinctPauseRatio;
 	}
 
-	/** The rank of a request among all that its service may get, 0 for the most urgent. */
+	/** The rank of a request among all that its service may receive, 0 for the most urgent. */
 	rank(route: Route, service: string, workspace: Workspace | undefined): number {
 		return this.#ranks.get(service)?.rank({route: route.urgency, workspace: workspace?.urgency}) ?? 0;
 	}
 
-	/** The range of ranks among a service's requests whose pauses are not the tightest. */
+	/** The range of ranks among a service's requests that are not latency-critical. */
 	urgencies(service: string): {readonly most: number; readonly least: number} {
 		return this.#urgencies.get(service) ?? {most: 0, least: 0};
 	}
 
-	/** The shortest pause that any of a service's streams must keep; infinite without any. */
+	/** The shortest pause limit of any of a service's streams; infinite if there is none. */
 	strictestPauseMilliseconds(service: string): number {
 		return this.#pauses.get(service)?.shortest ?? Infinity;
 	}
@@ -177,40 +177,40 @@
 		return new Set(this.#workspaceByKey.values()).size;
 	}
 
-	#noteRanks(service: string, ofWorkspaces: ReadonlyArray<number | undefined>): void {
-		const own = this.routes.filter(({shares}) => shares.some(share => share.service === service));
-		const pairsOf = (route: Route): UrgencyPair[] => (route.isPublic || !this.#needsKeys ? [undefined, ...ofWorkspaces] : ofWorkspaces)
+	#recordRanks(service: string, workspaceUrgencies: ReadonlyArray<number | undefined>): void {
+		const routes = this.routes.filter(({shares}) => shares.some(share => share.service === service));
+		const pairsOf = (route: Route): UrgencyPair[] => (route.isPublic || !this.#needsKeys ? [undefined, ...workspaceUrgencies] : workspaceUrgencies)
 			.map(workspace => ({route: route.urgency, workspace}));
-		const ranks = UrgencyRanks.create(own.flatMap(route => pairsOf(route)));
-		const ofOthers = own.filter(route => !this.isLatencyCritical(route, service)).flatMap(route => pairsOf(route)).map(pair => ranks.rank(pair));
+		const ranks = UrgencyRanks.create(routes.flatMap(route => pairsOf(route)));
+		const otherRanks = routes.filter(route => !this.isLatencyCritical(route, service)).flatMap(route => pairsOf(route)).map(pair => ranks.rank(pair));
 		this.#ranks.set(service, ranks);
-		if (ofOthers.length > 0) {
-			this.#urgencies.set(service, {most: Math.min(...ofOthers), least: Math.max(...ofOthers)});
+		if (otherRanks.length > 0) {
+			this.#urgencies.set(service, {most: Math.min(...otherRanks), least: Math.max(...otherRanks)});
 		}
 	}
 
-	#notePause({shares, longestPauseMilliseconds: pause}: Route): void {
+	#recordPause({shares, longestPauseMilliseconds: pause}: Route): void {
 		if (pause === undefined) {
 			return;
 		}
 
 		for (const {service} of shares) {
-			const held = this.#pauses.get(service) ?? {shortest: pause, longest: pause};
-			this.#pauses.set(service, {shortest: Math.min(held.shortest, pause), longest: Math.max(held.longest, pause)});
+			const current = this.#pauses.get(service) ?? {shortest: pause, longest: pause};
+			this.#pauses.set(service, {shortest: Math.min(current.shortest, pause), longest: Math.max(current.longest, pause)});
 		}
 	}
 }
 
-/** Pauses nearer than this are one kind: the streams can share endpoints. */
-const clearlyLonger = 1.3;
+/** Pause limits whose ratio is smaller than this count as equal: their streams can share endpoints. */
+const distinctPauseRatio = 1.3;
 
-/** The service of a request: a share by weight, the same for each sending of one request id. */
+/** Chooses the service of a request by weight; `draw` is from 0 to 1 and must be the same for each attempt of one request id. */
 export function chooseService(route: Route, draw: number): string | undefined {
 	const total = route.shares.reduce((sum, share) => sum + share.weight, 0);
-	let rest = draw * total;
+	let remaining = draw * total;
 	for (const share of route.shares) {
-		rest -= share.weight;
-		if (rest < 0) {
+		remaining -= share.weight;
+		if (remaining < 0) {
 			return share.service;
 		}
 	}
@@ -222,17 +222,17 @@
 	return host.replace(/:\d+$/v, '').toLowerCase();
 }
 
-/** An endpoint as it registered itself. */
+/** An endpoint's registration record, as the endpoint wrote it. */
 export type EndpointRecord = {
 	readonly id: string;
 	readonly service: string;
-	/** IP number and port. */
+	/** IP address and port. */
 	readonly address: string;
 	readonly zone: ZoneName;
 	readonly isLeaving: boolean;
 	readonly slots: number;
-	/** Rises with each of the endpoint's own changes within one incarnation. */
+	/** Rises with each change that the endpoint makes to its record within one incarnation. */
 	readonly revision: number;
-	/** When this incarnation started, in Unix milliseconds of its own clock; absent where it doesn't say. */
+	/** The start time of this incarnation in Unix milliseconds of its own clock; absent if the endpoint does not report it. */
 	readonly bornAt?: number | undefined;
 };
--- a/src/routing/schemas.ts
+++ b/src/routing/schemas.ts
@@ -3,7 +3,7 @@
 import {type EndpointChange} from './endpoint-directory.js';
 import {RouteKind, type RoutingTableInput} from './routing-table.js';
 
-/** The shapes in which routing tables and endpoints travel between instances, checked on arrival. */
+/** Schemas of the routing tables and endpoint records that instances send to each other; validated on receipt. */
 const name = z.string().min(1).max(512);
 const count = z.number().int().nonnegative();
 const milliseconds = z.number().nonnegative();
@@ -57,8 +57,8 @@
 });
 
 /**
- * An instance that knows of no eras, or a store that tells none, means the first. While a fleet is replaced, old instances read offsets alone,
- * and their word counts as of the first era: it takes nothing away that a later one has named.
+ * Messages from an instance without support for eras, or from a store that names none, count as the first era. During a rolling upgrade
+ * old instances know offsets only; as their messages belong to the first era, they can't remove what a later era has named.
  */
 const era = z.number().int().nonnegative().default(0);
 
--- a/src/routing/urgency-ranks.ts
+++ b/src/routing/urgency-ranks.ts
@@ -1,18 +1,19 @@
-/** The urgency of a route and, where it has one, of the workspace that asks. */
+/** The urgency of a route and, if it has one, of the workspace that sends the request. */
 export type UrgencyPair = {readonly route: number; readonly workspace: number | undefined};
 
 /**
- * Puts the more urgent first. A pair means the same in every routing table, a rank only in its own. Failure: the operator adds a
- * workspace of another urgency while requests wait. Symptom: by rank, drafts from before go ahead of confirmations that come after.
+ * Orders pairs by urgency, the most urgent first. A pair has the same meaning in every routing table, a rank only in its own. If ranks were
+ * compared and the operator added a workspace with another urgency while requests are queued, earlier drafts would be
+ * served before later confirmations.
  */
 export function compareUrgency(left: UrgencyPair, right: UrgencyPair): number {
-	return compareNumbers(leading(left), leading(right)) || compareNumbers(left.route, right.route);
+	return compareNumbers(primaryUrgency(left), primaryUrgency(right)) || compareNumbers(left.route, right.route);
 }
 
 /**
- * Ranks of the requests that one service may get, 0 for the most urgent. A workspace's urgency goes before
- * the route's; between requests of equal workspaces the route's decides. Failure: where most workspaces have
- * the same urgency, that of routes is lost. Symptom: an urgent stream is let in last, as if
+ * Ranks of the requests that one service may receive, 0 for the most urgent. A workspace's urgency takes precedence over
+ * the route's; between requests of equally urgent workspaces the route's decides. Without the second criterion, workspaces of
+ * the same urgency would make all their routes equal, and an urgent stream would be admitted last, as if
  * it were a draft.
  */
 export class UrgencyRanks {
@@ -28,7 +29,7 @@
 		this.#ranks = new Map(ordered.map(([key], rank) => [key, rank]));
 	}
 
-	/** The rank of a pair; one that is not among the service's own comes last. */
+	/** The rank of a pair; one that is unknown to the service comes last. */
 	rank(pair: UrgencyPair): number {
 		return this.#ranks.get(keyOf(pair)) ?? this.#ranks.size;
 	}
@@ -38,10 +39,10 @@
 	return left === right ? 0 : (left < right ? -1 : 1);
 }
 
-function leading({route, workspace}: UrgencyPair): number {
+function primaryUrgency({route, workspace}: UrgencyPair): number {
 	return workspace ?? route;
 }
 
 function keyOf(pair: UrgencyPair): string {
-	return `${leading(pair)}/${pair.route}`;
+	return `${primaryUrgency(pair)}/${pair.route}`;
 }
--- a/test/routing/era-model.ts
+++ b/test/routing/era-model.ts
@@ -1,48 +1,48 @@
 import {type ZoneName} from '../../src/model/index.js';
 import {type EndpointChange, EndpointDirectory, positionOf, EndpointStatus, endpointStatusOf} from '../../src/routing/index.js';
 
-/** What an instance goes by: the store's eras, or offsets alone. */
-export type Rules = 'eras' | 'offsets';
+/** What instances use to compare log positions: eras and offsets, or offsets alone. */
+export type EraSupport = 'eras' | 'offsets';
 
-/** One thing that may happen next. */
+/** A step of the model. */
 export const Action = {
-	serving: 'the serving endpoint registers', ending: 'the other endpoint\'s record goes', copying: 'the store is copied', drill: 'the store comes back from the copy',
-	firstReads: 'the first instance reads', secondReads: 'the second instance reads', firstTells: 'the first tells the second', secondTells: 'the second tells the first',
+	serving: 'the serving endpoint registers', ending: 'the other endpoint\'s record is removed', backup: 'the store is backed up', restore: 'the store is restored from the backup',
+	firstPolls: 'the first instance polls', secondPolls: 'the second instance polls', firstReports: 'the first reports to the second', secondReports: 'the second reports to the first',
 } as const;
 export type Action = (typeof Action)[keyof typeof Action];
 
-type Written = {readonly id: string; readonly revision: number | undefined};
+type LogRecord = {readonly id: string; readonly revision: number | undefined};
 type Reader = {directory: EndpointDirectory; next: {era: number; offset: number} | undefined};
 
-/** The endpoint that serves throughout, and the one that ends for good. */
+/** The endpoint that serves all the time, and the one that ends for good. */
 export const serving = 'serving';
 export const ending = 'ending';
 
 /**
- * Two instances, the store's log of endpoints and a drill, as small as they can be and still go wrong. Each action is taken at once; an
- * instance that is away takes none. All that is believed is the product's own directory.
+ * A model of two instances, the store's log of endpoints and a restore from a backup: the smallest one in which the faults can occur.
+ * Actions are atomic; an unavailable instance takes none. The instances use the real `EndpointDirectory`.
  */
 export class EraModel {
-	static create(rules: Rules): EraModel {
-		return new EraModel(rules);
+	static create(eraSupport: EraSupport): EraModel {
+		return new EraModel(eraSupport);
 	}
 
-	readonly #rules: Rules;
-	#log: Written[] = [{id: ending, revision: 1}];
-	#copy: readonly Written[] | undefined;
+	readonly #eraSupport: EraSupport;
+	#log: LogRecord[] = [{id: ending, revision: 1}];
+	#backup: readonly LogRecord[] | undefined;
 	#era = 1;
 	#revision = 0;
 	#hasEnded = false;
-	#drills = 0;
+	#restores = 0;
 	readonly #readers: readonly [Reader, Reader] = [{directory: EndpointDirectory.create(), next: undefined}, {directory: EndpointDirectory.create(), next: undefined}];
 
-	private constructor(rules: Rules) {
-		this.#rules = rules;
-		this.#read(this.#readers[0]);
-		this.#read(this.#readers[1]);
+	private constructor(eraSupport: EraSupport) {
+		this.#eraSupport = eraSupport;
+		this.#poll(this.#readers[0]);
+		this.#poll(this.#readers[1]);
 	}
 
-	/** False if the action can't happen now, or changes nothing. */
+	/** Returns false if the action is impossible now, or changes nothing. */
 	act(action: Action): boolean {
 		switch (action) {
 			case Action.serving: {
@@ -61,35 +61,35 @@
 				return true;
 			}
 
-			case Action.copying: {
-				const isFirst = this.#copy === undefined;
-				this.#copy ??= [...this.#log];
+			case Action.backup: {
+				const isFirst = this.#backup === undefined;
+				this.#backup ??= [...this.#log];
 				return isFirst;
 			}
 
-			case Action.drill: {
-				return this.#drill();
+			case Action.restore: {
+				return this.#restore();
 			}
 
-			case Action.firstReads: {
-				return this.#read(this.#readers[0]);
+			case Action.firstPolls: {
+				return this.#poll(this.#readers[0]);
 			}
 
-			case Action.secondReads: {
-				return this.#read(this.#readers[1]);
+			case Action.secondPolls: {
+				return this.#poll(this.#readers[1]);
 			}
 
-			case Action.firstTells: {
-				return this.#tell(this.#readers[0], this.#readers[1]);
+			case Action.firstReports: {
+				return this.#report(this.#readers[0], this.#readers[1]);
 			}
 
-			case Action.secondTells: {
-				return this.#tell(this.#readers[1], this.#readers[0]);
+			case Action.secondReports: {
+				return this.#report(this.#readers[1], this.#readers[0]);
 			}
 		}
 	}
 
-	/** Whoever is alive has written again, the store has dropped who is not, and both instances have read to the end. */
+	/** Brings the model to rest: the live endpoint registers again, the store removes the ended one, and both instances poll to the end of the log. */
 	settle(): void {
 		this.act(Action.serving);
 		if (this.#hasEnded) {
@@ -97,11 +97,11 @@
 		}
 
 		for (const reader of [...this.#readers, ...this.#readers]) {
-			this.#read(reader);
+			this.#poll(reader);
 		}
 	}
 
-	/** True if an instance that could use the serving endpoint can't any more. */
+	/** True if an instance that knows the serving endpoint can't use it any more. */
 	get hasLost(): boolean {
 		return this.#readers.some(({directory}) => {
 			const entry = directory.entries.get(serving);
@@ -109,8 +109,8 @@
 		});
 	}
 
-	/** Whether each instance may use an endpoint so long after all of it. */
-	standings(id: string, milliseconds: number): EndpointStatus[] {
+	/** The status of an endpoint at each instance, this long after the start. */
+	statuses(id: string, milliseconds: number): EndpointStatus[] {
 		return this.#readers.map(({directory}) => {
 			const entry = directory.entries.get(id);
 			return entry === undefined ? EndpointStatus.gone : endpointStatusOf(entry, milliseconds);
@@ -121,42 +121,42 @@
 		return this.#hasEnded;
 	}
 
-	#drill(): boolean {
-		if (this.#copy === undefined || this.#drills > 0) {
+	#restore(): boolean {
+		if (this.#backup === undefined || this.#restores > 0) {
 			return false;
 		}
 
-		this.#drills += 1;
+		this.#restores += 1;
 		this.#era += 1;
-		this.#log = [...this.#copy];
+		this.#log = [...this.#backup];
 		return true;
 	}
 
-	/** A log that ends before a reader's place tells by itself that it is another one. */
-	#read(reader: Reader): boolean {
-		const era = this.#rules === 'eras' ? this.#era : 0;
+	/** Without eras, a reader detects a restore only if the log ends before its own position. */
+	#poll(reader: Reader): boolean {
+		const era = this.#eraSupport === 'eras' ? this.#era : 0;
 		const {next} = reader;
-		const isWhole = next?.era !== era || next.offset > this.#log.length;
+		const isSnapshot = next?.era !== era || next.offset > this.#log.length;
 		const before = reader.directory;
-		if (isWhole) {
+		if (isSnapshot) {
 			const newest = new Map<string, EndpointChange>();
-			for (const [offset, written] of this.#log.entries()) {
-				newest.set(written.id, toChange(written, {era, offset}));
+			for (const [offset, record] of this.#log.entries()) {
+				newest.set(record.id, toChange(record, {era, offset}));
 			}
 
 			const named = [...newest.values()].filter(({type}) => type === 'registered');
 			reader.directory = before.apply(named, 0).applySnapshot(new Set(named.map(change => change.type === 'registered' ? change.record.id : '')), era, 0);
 		} else {
-			const changes = this.#log.slice(next.offset).map((written, index) => toChange(written, {era, offset: next.offset + index}));
+			const changes = this.#log.slice(next.offset).map((record, index) => toChange(record, {era, offset: next.offset + index}));
 			reader.directory = before.apply(changes, 0);
 		}
 
-		const isMoved = next?.era !== era || next.offset !== this.#log.length;
+		const hasAdvanced = next?.era !== era || next.offset !== this.#log.length;
 		reader.next = {era, offset: this.#log.length};
-		return isMoved || reader.directory !== before;
+		return hasAdvanced || reader.directory !== before;
 	}
 
-	#tell({directory}: Reader, to: Reader): boolean {
+	#report({directory}: Reader, to: Reader): boolean {
 		const before = to.directory;
 		to.directory = before.apply([...directory.entries.values()].filter(({unconfirmedUntil}) => unconfirmedUntil === undefined).map(({record, registrations, endedAt}) => endedAt === undefined
 			? {type: 'registered', ...positionOf(registrations), record}
@@ -165,8 +165,8 @@
 	}
 }
 
-function toChange({id, revision}: Written, place: {era: number; offset: number}): EndpointChange {
+function toChange({id, revision}: LogRecord, position: {era: number; offset: number}): EndpointChange {
 	return revision === undefined
-		? {type: 'removed', ...place, id}
-		: {type: 'registered', ...place, record: {id, service: 's', address: '1.2.3.4:5', zone: 'z' as ZoneName, slots: 1, isLeaving: false, revision}};
+		? {type: 'removed', ...position, id}
+		: {type: 'registered', ...position, record: {id, service: 's', address: '1.2.3.4:5', zone: 'z' as ZoneName, slots: 1, isLeaving: false, revision}};
 }
