--- a/src/model/failure.ts
+++ b/src/model/failure.ts
@@ -1,8 +1,8 @@
 import {Verdict} from './verdict.js';
 
 /**
- * Every way in which a request can fail, as a tagged union. `message` is meant for the caller and
- * holds no prompt and no key. `retryAfterMilliseconds` is present where waiting helps.
+ * The failure of a request, discriminated by `kind`. `message` is meant for the caller and
+ * contains no prompt and no key. `retryAfterMilliseconds` is present if a later retry may succeed.
  */
 export type Failure = {
 	readonly kind: FailureKind;
@@ -11,7 +11,7 @@
 	readonly retryAfterMilliseconds?: number;
 };
 
-/** The reasons. The string is the `code` of the error that the caller sees. */
+/** The kinds of failure. The string is the `code` of the error that the caller receives. */
 export const FailureKind = {
 	badRequest: 'bad_request',
 	unauthorized: 'invalid_api_key',
@@ -66,12 +66,12 @@
 	[FailureKind.internal]: 500,
 };
 
-/** Makes a failure; without a verdict it says that the request was not run. */
+/** Creates a failure; the default verdict is that the request did not run. */
 export function createFailure(kind: FailureKind, message: string, more: {verdict?: Verdict; retryAfterMilliseconds?: number} = {}): Failure {
 	return {kind, message, verdict: Verdict.notRun, ...more};
 }
 
-/** A failure on its way up through code that throws. */
+/** An error that carries a failure through code that throws. */
 export class RequestError extends Error {
 	static create(failure: Failure): RequestError {
 		return new RequestError(failure);
--- a/src/model/index.ts
+++ b/src/model/index.ts
@@ -1,4 +1,4 @@
-/** The values that every part shares: identifiers, tiers, verdicts, failures and request summaries. */
+/** The values that all parts share: identifiers, tiers, verdicts, failures and request summaries. */
 export * from './identifiers.js';
 export * from './verdict.js';
 export * from './failure.js';
--- a/src/model/request.ts
+++ b/src/model/request.ts
@@ -2,32 +2,32 @@
 	type ClassName, type RequestId, type TargetName, type Tier, type WorkspaceName,
 } from './identifiers.js';
 
-/** What the queue, placement and limits know of a request; it holds no prompt. Times are milliseconds. */
+/** The properties of a request on which queue, placement and limits depend; it contains no prompt. Times are milliseconds. */
 export type RequestSummary = {
 	readonly id: RequestId;
 	readonly workspace: WorkspaceName;
-	/** The workspace's weight among its rivals; 1 is usual. */
+	/** The workspace's weight in fair sharing; usually 1. */
 	readonly weight: number;
 	readonly className: ClassName;
 	readonly tier: Tier;
-	/** The model or the plain service that is to run it. */
+	/** The model or the plain service that has to run it. */
 	readonly target: TargetName;
-	/** False for what may run once at most. */
+	/** False if the request may run at most once. */
 	readonly idempotent: boolean;
-	/** How long after arrival the first token is due. */
+	/** The time after arrival at which the first token is due. */
 	readonly firstTokenMilliseconds: number;
-	/** The time between tokens that the class can bear; missing: the queue's own setting. */
+	/** The time between tokens that the class tolerates; the queue's own setting if absent. */
 	readonly betweenTokensMilliseconds?: number;
-	/** How long after arrival the request may still be waiting in a queue. */
+	/** The time after arrival up to which the request may wait in a queue. */
 	readonly queueMilliseconds: number;
 	/** The length of the prompt in tokens, estimated from its bytes. */
 	readonly promptTokens: number;
-	/** Workspace and body hash: what stays the same when the caller sends it again. */
+	/** A hash of workspace and body that stays the same when the caller sends the request again. */
 	readonly fingerprint: string;
 	/** A hash of the prompt's leading blocks, for prefix affinity. */
 	readonly prefix: string;
-	/** How often it has been preempted; missing: never. It resumes then, and its tokens so far are in `promptTokens`. */
+	/** The number of its preemptions; 0 if absent. A preempted request resumes, and `promptTokens` includes its tokens so far. */
 	readonly preemptions?: number;
-	/** False at a side that is asked besides another: it preempts only at the last moment, so that two don't for one request. */
+	/** False at a side that is asked in addition to another: it preempts only at the last possible time, so that two sides don't preempt for one request. */
 	readonly asksFirst?: boolean;
 };
--- a/src/model/verdict.ts
+++ b/src/model/verdict.ts
@@ -1,11 +1,11 @@
 /**
- * Whether a request may have run. Every failure carries one, and `notRun` is said only where it is
- * certain: no body left for any side, or the one side that had it says that it did not start.
+ * Whether a request may have run. Every failure has a verdict. `notRun` is used only if it is
+ * certain: no body was sent to any side (the sidecar process of one endpoint), or the only side that received it reports that it did not start.
  */
 export const Verdict = {notRun: 'not-run', mayHaveRun: 'may-have-run', ran: 'ran'} as const;
 export type Verdict = (typeof Verdict)[keyof typeof Verdict];
 
-/** The verdict over two attempts at one request: the one that admits more. */
+/** The combined verdict of two attempts of one request: the one that implies more execution. */
 export function combineVerdicts(first: Verdict, second: Verdict): Verdict {
 	if (first === Verdict.ran || second === Verdict.ran) {
 		return Verdict.ran;
@@ -14,7 +14,7 @@
 	return first === Verdict.mayHaveRun || second === Verdict.mayHaveRun ? Verdict.mayHaveRun : Verdict.notRun;
 }
 
-/** True if sending the request again can't run it twice, or may do so harmlessly. */
+/** True if a retry can't run the request twice, or if running it twice is harmless. */
 export function mayRetry(verdict: Verdict, idempotent: boolean): boolean {
 	return verdict === Verdict.notRun || (verdict === Verdict.mayHaveRun && idempotent);
 }
--- a/test/model/verdict.test.ts
+++ b/test/model/verdict.test.ts
@@ -4,7 +4,7 @@
 
 const verdicts = fc.constantFrom(...Object.values(Verdict));
 
-tap.test('combining verdicts keeps the one that admits more, in any order', async t => {
+tap.test('combining verdicts keeps the one that implies more execution, in any order', async t => {
 	fc.assert(fc.property(verdicts, verdicts, (first, second) => {
 		const combined = combineVerdicts(first, second);
 		return combined === combineVerdicts(second, first) && combineVerdicts(combined, first) === combined;
@@ -13,7 +13,7 @@
 	t.equal(combineVerdicts(Verdict.notRun, Verdict.notRun), Verdict.notRun);
 });
 
-tap.test('only what did not run, or is idempotent, may be sent again', async t => {
+tap.test('a request may be retried only if it did not run, or may have run and is idempotent', async t => {
 	t.ok(mayRetry(Verdict.notRun, false));
 	t.notOk(mayRetry(Verdict.mayHaveRun, false));
 	t.ok(mayRetry(Verdict.mayHaveRun, true));
