--- a/src/model/verdict.ts
+++ b/src/model/verdict.ts
@@ -5,7 +5,7 @@
 export const Verdict = {notRun: 'not-run', mayHaveRun: 'may-have-run', ran: 'ran'} as const;
 export type Verdict = (typeof Verdict)[keyof typeof Verdict];
 
-/** The combined verdict of two attempts of one request: the one that implies more execution. */
+/** The combined verdict of two attempts of one request: the strongest of ran, may have run and not run. */
 export function combineVerdicts(first: Verdict, second: Verdict): Verdict {
 	if (first === Verdict.ran || second === Verdict.ran) {
 		return Verdict.ran;
--- a/src/policy/claims/fold.ts
+++ b/src/policy/claims/fold.ts
@@ -32,6 +32,7 @@
 const minuteMilliseconds = 60_000;
 const emptyBucket: MinuteBucket = {holders: new Map(), released: new Set()};
 
+/** The state before the first record of a stream. */
 export function createClaims(): Claims {
 	return {next: 0, time: 0, minutes: new Map(), ignored: 0};
 }
--- a/src/policy/claims/key.ts
+++ b/src/policy/claims/key.ts
@@ -19,6 +19,7 @@
 	readonly partition: number;
 };
 
+/** A valid key, or the failure for an invalid one. */
 export type ParsedKey = {readonly type: 'key'; readonly key: ClaimKey} | {readonly type: 'refused'; readonly failure: Failure};
 
 /** Parses an `Idempotency-Key`: a UUIDv7, whose leading bits are its creation time. */
@@ -41,6 +42,7 @@
 	return keyTime <= now + keySkewMilliseconds && keyTime > now - keyWindowMilliseconds;
 }
 
+/** The name of the log stream of a partition. */
 export function streamOfPartition(partition: number): string {
 	return `claims-${partition}`;
 }
--- a/src/policy/claims/response-cache.ts
+++ b/src/policy/claims/response-cache.ts
@@ -42,6 +42,7 @@
 	return {entries, bytes};
 }
 
+/** The cached response of a claim, if it has not expired. */
 export function findResponse(state: ResponseCache, claim: string, now: number): CachedResponse | undefined {
 	const entry = state.entries.get(claim);
 	return entry && now - entry.storedAt < responseLifetimeMilliseconds ? entry.response : undefined;
--- a/src/policy/eras/index.ts
+++ b/src/policy/eras/index.ts
@@ -21,6 +21,7 @@
 /** The newest era that any response named. */
 export type KnownEra = {readonly era: number; readonly isReported: boolean};
 
+/** The known era before the first response. */
 export const unknownEra: KnownEra = {era: initialEra, isReported: false};
 
 /** Compares the era that one response reported with the known one. A store that never names an era has only one. */
--- a/src/policy/limits/allocator.ts
+++ b/src/policy/limits/allocator.ts
@@ -14,6 +14,7 @@
 /** An allocator's state for one class: the grants by the name of their holder. */
 export type AllocatorState = ReadonlyMap<string, Grant>;
 
+/** Durations of leases. */
 export type AllocatorSettings = {
 	/** A lease's duration while the class is near its limit: the time for which a shift of traffic may go unnoticed. */
 	readonly leaseMilliseconds: number;
--- a/src/policy/limits/bucket.ts
+++ b/src/policy/limits/bucket.ts
@@ -21,6 +21,7 @@
 	return {level: Math.min(bucket.level + refilled, capacityOf(rate)), updatedAt: now};
 }
 
+/** The bucket after `amount` was spent; its level may become negative. */
 export function spend(bucket: Bucket, amount: number): Bucket {
 	return {...bucket, level: bucket.level - amount};
 }
--- a/src/policy/limits/limiter.ts
+++ b/src/policy/limits/limiter.ts
@@ -25,6 +25,7 @@
 	readonly lastUsedAt: number;
 };
 
+/** Whether a request is admitted, or which limit refuses it and when a retry may succeed. */
 export type LimiterDecision
 	= | {readonly type: 'admitted'}
 		| {readonly type: 'limited'; readonly limit: LimitKind; readonly retryAfterMilliseconds: number};
--- a/src/policy/membership/index.ts
+++ b/src/policy/membership/index.ts
@@ -10,8 +10,10 @@
  */
 import {type EndpointId, type InstanceId} from '../../model/index.js';
 
+/** The phase that a side announces. */
 export type Phase = 'serving' | 'leaving' | 'down';
 
+/** An observation about endpoints. */
 export type Evidence
 	/** An announcement of the side itself. `sequence` numbers its announcements, so that a delayed one is recognized. */
 	= | {readonly type: 'said'; readonly endpoint: EndpointId; readonly instance: InstanceId; readonly phase: Phase; readonly sequence: number}
@@ -27,6 +29,7 @@
 	readonly listed?: 'live' | 'leaving' | 'gone';
 };
 
+/** The evidence on each endpoint. */
 export type Membership = ReadonlyMap<EndpointId, EndpointEvidence>;
 
 /** The status that follows from the evidence on one endpoint. */
@@ -44,6 +47,7 @@
 	return new Map();
 }
 
+/** The state after one more piece of evidence. */
 export function stepMembership(state: Membership, evidence: Evidence): Membership {
 	switch (evidence.type) {
 		case 'said': {
--- a/src/policy/quarantine/index.ts
+++ b/src/policy/quarantine/index.ts
@@ -23,12 +23,14 @@
 /** Number of crash records kept: a hundred a minute for the whole period, far more than the 18 instances that fail on an ordinary day in a full-size fleet. */
 export const maxCrashRecords = 1000;
 
+/** The crash records, and which fingerprints were cleared of them. */
 export type Quarantine = {
 	readonly crashes: ReadonlyMap<string, CrashRecord>;
 	/** The ids of crashes of which a fingerprint was cleared, by a complete run or by an operator. */
 	readonly cleared: ReadonlyMap<string, ReadonlySet<string>>;
 };
 
+/** The status of a fingerprint: `suspect` requests run one at a time, `quarantined` ones are refused. */
 export const Suspicion = {none: 'none', suspect: 'suspect', quarantined: 'quarantined'} as const;
 export type Suspicion = (typeof Suspicion)[keyof typeof Suspicion];
 
@@ -74,6 +76,7 @@
 /** The suspicion against a fingerprint, and the crashes on which it is based. */
 export type FingerprintStatus = {readonly suspicion: Suspicion; readonly crashes: readonly CrashRecord[]};
 
+/** The status of a fingerprint at a time, from all records that still count. */
 export function evaluateFingerprint(state: Quarantine, fingerprint: string, now: number): FingerprintStatus {
 	const counted = countedCrashes(state, fingerprint, now);
 	if (counted.length >= quarantineThreshold) {
@@ -93,7 +96,7 @@
 
 /**
  * A crash whose cause has been found is no evidence against the other requests that it hit. Without this rule an
- * unrelated request that ran beside a poison request remains a suspect and has to wait until it can run alone, so that
+ * unrelated request that ran beside a poison request remains a suspect and has to wait until no other suspect runs, so that
  * one caller's poison request slows down the requests of others.
  */
 function isExplained(state: Quarantine, crash: CrashRecord, fingerprint: string, now: number): boolean {
--- a/src/policy/retries/index.ts
+++ b/src/policy/retries/index.ts
@@ -23,6 +23,7 @@
 
 export type RetryEvent = {readonly type: 'request'} | {readonly type: 'retry'};
 
+/** A budget that is half full. */
 export function createRetryBudget(now: number): RetryBudget {
 	return {tokens: maxBudgetTokens / 2, at: now};
 }
@@ -42,6 +43,7 @@
 	}
 }
 
+/** True if the budget covers one more retry. */
 export function budgetAllows(state: RetryBudget, now: number): boolean {
 	const refilled = state.tokens + (Math.max(0, now - state.at) / 1000 * minimumRetriesPerSecond);
 	return Math.min(maxBudgetTokens, refilled) >= 1;
@@ -59,6 +61,7 @@
 	readonly deadline: number;
 };
 
+/** To retry after a delay, or the reason to give up. */
 export type RetryDecision
 	/** A free retry does not spend from the budget. */
 	= | {readonly type: 'retry'; readonly afterMilliseconds: number; readonly free: boolean}
--- a/src/policy/stragglers/index.ts
+++ b/src/policy/stragglers/index.ts
@@ -34,6 +34,7 @@
 /** The average time between tokens of each endpoint, and which endpoints are ejected. */
 export type Stragglers = {readonly latencies: ReadonlyMap<EndpointId, TokenLatency>};
 
+/** Tokens that an endpoint produced, the loss of an endpoint, or an evaluation of peers. */
 export type StragglerEvent
 	= | {readonly type: 'progressed'; readonly endpoint: EndpointId; readonly tokens: number; readonly milliseconds: number}
 		| {readonly type: 'lost'; readonly endpoint: EndpointId}
@@ -44,6 +45,7 @@
 	return {latencies: new Map()};
 }
 
+/** The state after an event at `now`, in milliseconds. */
 export function stepStragglers(state: Stragglers, event: StragglerEvent, now: number): Stragglers {
 	switch (event.type) {
 		case 'progressed': {
@@ -98,6 +100,7 @@
 	return sorted[Math.floor((sorted.length - 1) / 2)] ?? Infinity;
 }
 
+/** True if the endpoint is ejected and may only get probe requests. */
 export function isEjected(state: Stragglers, endpoint: EndpointId): boolean {
 	return state.latencies.get(endpoint)?.ejected ?? false;
 }
--- a/src/routing/endpoint-directory.ts
+++ b/src/routing/endpoint-directory.ts
@@ -7,7 +7,7 @@
 	= | (LogPosition & {readonly type: 'registered'; readonly record: EndpointRecord})
 		| (LogPosition & {readonly type: 'removed'; readonly id: string});
 
-/** Whether an endpoint may be used: `ready` without restriction, `lastResort` only if no ready one is left, `gone` not at all. */
+/** Whether an endpoint may be used: `ready` without restriction, `lastResort` only if the service has no ready endpoint, `gone` not at all. */
 export const EndpointStatus = {ready: 'ready', lastResort: 'last-resort', gone: 'gone'} as const;
 export type EndpointStatus = (typeof EndpointStatus)[keyof typeof EndpointStatus];
 
--- a/src/routing/routing-table.ts
+++ b/src/routing/routing-table.ts
@@ -48,6 +48,7 @@
 /** The parameters of cache transfers between the engines of a service. */
 export type TransferParameters = {readonly bytesPerToken: number; readonly megabitsPerSecond: number};
 
+/** A group of equivalent endpoints to which routes send requests. */
 export type Service = {
 	readonly name: string;
 	/** Maximum number of connections that one endpoint accepts from all callers together. */
@@ -63,6 +64,7 @@
 	readonly idleMilliseconds: number;
 };
 
+/** A customer, identified by its keys. */
 export type Workspace = {
 	readonly name: WorkspaceName;
 	readonly keys: readonly string[];
@@ -70,6 +72,7 @@
 	readonly urgency?: number | undefined;
 };
 
+/** The content of a routing table, as published by the operator. */
 export type RoutingTableInput = {
 	readonly version: number;
 	readonly routes: readonly Route[];
--- a/src/routing/schemas.ts
+++ b/src/routing/schemas.ts
@@ -3,7 +3,7 @@
 import {type EndpointChange} from './endpoint-directory.js';
 import {RouteKind, type RoutingTableInput} from './routing-table.js';
 
-/** Schemas of the routing tables and endpoint records that instances send to each other; validated on receipt. */
+// Schemas of the routing tables and endpoint records that instances send to each other; validated on receipt.
 const name = z.string().min(1).max(512);
 const count = z.number().int().nonnegative();
 const milliseconds = z.number().nonnegative();
--- a/test/model/verdict.test.ts
+++ b/test/model/verdict.test.ts
@@ -4,7 +4,7 @@
 
 const verdicts = fc.constantFrom(...Object.values(Verdict));
 
-tap.test('combining verdicts keeps the one that implies more execution, in any order', async t => {
+tap.test('combining verdicts keeps the strongest one, in any order', async t => {
 	fc.assert(fc.property(verdicts, verdicts, (first, second) => {
 		const combined = combineVerdicts(first, second);
 		return combined === combineVerdicts(second, first) && combineVerdicts(combined, first) === combined;
