--- a/src/policy/sharing/polling.ts
+++ b/src/policy/sharing/polling.ts
@@ -68,7 +68,7 @@
  * How long the next long poll may wait at the store, in whole milliseconds, for a random draw from 0 to 1.
  *
  * A long poll that is sent to an unresponsive store would hang for its full wait even after the store recovers, and delay what was
- * accepted in between. While the store is unresponsive, a poll therefore asks without waiting; that one is known to be lost within a second.
+ * accepted in between. While the store is unresponsive, a poll therefore asks without waiting, and its loss is detected within a second.
  * A change ends the waits of all instances at once: the next wait is a random part of the base wait, so that they end at different
  * times again.
  */
