--- a/src/endpoint/engine-client.ts
+++ b/src/endpoint/engine-client.ts
@@ -1,17 +1,17 @@
 import {Buffer} from 'node:buffer';
 import {Agent, type IncomingMessage} from 'node:http';
 import {createFailure, FailureKind, Verdict, type Failure} from '../model/index.js';
-import {badAnswer} from './answer-checker.js';
+import {createBadResponseFailure} from './response-checker.js';
 import {type EngineEvent} from './engine-event.js';
 import {readEngineStream} from './engine-stream.js';
 import {openCall} from './open-call.js';
-import {discard, readJson} from './read-answer.js';
+import {discard, readJson} from './read-response.js';
 
 export type EngineClientSettings = {
 	/** For example `http://127.0.0.1:9000`. */
 	readonly baseUrl: string;
-	/** An answer that brings nothing for so long is given up as lost. */
-	readonly silenceMilliseconds?: number;
+	/** How long a response may bring no data before the call fails. */
+	readonly idleTimeoutMilliseconds?: number;
 };
 
 /** One model call, or the rest of one whose first tokens the caller already has. */
@@ -21,10 +21,10 @@
 	readonly path: string;
 	readonly headers: Readonly<Record<string, string>>;
 	readonly body: Uint8Array;
-	/** How many tokens the caller has, and their text; 0 and empty for a new call. */
+	/** How many tokens the caller already has, and their text; 0 and empty for a new call. */
 	readonly resumeTokens: number;
 	readonly resumeText: string;
-	/** 0 is first. */
+	/** 0 is the highest priority. */
 	readonly priority: number;
 	readonly idempotencyKey?: string;
 	/** Aborting cancels the request at the engine. */
@@ -32,43 +32,43 @@
 };
 
 /**
- * A thousand steps of a few milliseconds and more: an engine that is merely slow or crowded speaks
- * within it, and a frozen one or a half-open connection holds a slot no longer than this.
+ * More than a thousand engine steps of a few milliseconds: an engine that is merely slow or loaded sends
+ * data within this time, and a frozen engine or a half-open connection occupies a slot no longer than this.
  */
-const defaultSilenceMilliseconds = 10_000;
+const defaultIdleTimeoutMilliseconds = 10_000;
 
-/** Streams model calls from one engine. What it yields has been checked; a fault ends the stream as `failed`. */
+/** Streams model calls from one engine. Every event it yields has been checked; a protocol error ends the stream with `failed`. */
 export class EngineClient implements AsyncDisposable {
 	static create(settings: EngineClientSettings): EngineClient {
 		return new EngineClient(settings);
 	}
 
 	readonly #baseUrl: string;
-	readonly #silenceMilliseconds: number;
+	readonly #idleTimeoutMilliseconds: number;
 	readonly #agent = new Agent({keepAlive: true, noDelay: true});
 
 	private constructor(settings: EngineClientSettings) {
 		this.#baseUrl = settings.baseUrl.replace(/\/$/v, '');
-		this.#silenceMilliseconds = settings.silenceMilliseconds ?? defaultSilenceMilliseconds;
+		this.#idleTimeoutMilliseconds = settings.idleTimeoutMilliseconds ?? defaultIdleTimeoutMilliseconds;
 	}
 
 	/**
 	 * Runs a call. Each array holds the events of one turn of the event loop; the very last event is
 	 * `done` or `failed`. Ending the iteration early cancels the call. While the consumer does not
-	 * ask, the connection is not read, so a slow caller holds back its own stream alone.
+	 * pull, the connection is not read, so a slow caller applies backpressure to its own stream only.
 	 */
 	async * run(run: EngineRun): AsyncGenerator<EngineEvent[]> {
 		const body = bodyOf(run);
 		const opened = await openCall({
 			agent: this.#agent,
-			isFresh: run.idempotencyKey !== undefined,
+			usesNewConnection: run.idempotencyKey !== undefined,
 			url: this.#baseUrl + run.path,
 			method: run.method,
 			headers: headersOf(run, body),
 			signal: run.signal,
-			headMilliseconds: this.#silenceMilliseconds,
-			write(sent) {
-				sent.end(body);
+			headerTimeoutMilliseconds: this.#idleTimeoutMilliseconds,
+			write(request) {
+				request.end(body);
 			},
 		});
 		if (opened.type === 'failed') {
@@ -77,14 +77,14 @@
 		}
 
 		const {response} = opened;
-		const refusal = await refusalOf(response);
-		if (refusal !== undefined) {
-			yield [{type: 'failed', failure: refusal}];
+		const failure = await failureOf(response);
+		if (failure !== undefined) {
+			yield [{type: 'failed', failure}];
 			return;
 		}
 
 		yield * readEngineStream({
-			response, requestId: run.requestId, first: run.resumeTokens, silenceMilliseconds: this.#silenceMilliseconds, signal: run.signal,
+			response, requestId: run.requestId, firstIndex: run.resumeTokens, idleTimeoutMilliseconds: this.#idleTimeoutMilliseconds, signal: run.signal,
 		});
 	}
 
@@ -117,11 +117,11 @@
 
 const statusOk = 200;
 const statusBadRequest = 400;
-const statusTooMany = 429;
+const statusTooManyRequests = 429;
 const firstServerError = 500;
 
-/** Why an answer is no stream of events; `undefined` if it is one. */
-async function refusalOf(response: IncomingMessage): Promise<Failure | undefined> {
+/** The failure for a response that is not an event stream; `undefined` if it is one. */
+async function failureOf(response: IncomingMessage): Promise<Failure | undefined> {
 	const status = response.statusCode ?? 0;
 	if (status === statusOk) {
 		if (response.headers['content-type']?.startsWith('text/event-stream')) {
@@ -129,13 +129,13 @@
 		}
 
 		discard(response);
-		return badAnswer('The engine answered with something else than a stream of events.');
+		return createBadResponseFailure('The engine sent a response that is not an event stream.');
 	}
 
 	const retryAfterSeconds = Number(response.headers['retry-after']);
 	const body = await readJson(response);
 	const reason = errorMessage(body) ?? 'no reason given';
-	// By the published protocol a 4xx says that nothing happened; a 5xx leaves it open.
+	// By the published protocol a 4xx means that nothing happened; after a 5xx the request may have run.
 	return createFailure(kindOfStatus(status), `The engine refused with status ${status}: ${reason}.`, {
 		verdict: status >= firstServerError ? Verdict.mayHaveRun : Verdict.notRun,
 		...(Number.isFinite(retryAfterSeconds) && {retryAfterMilliseconds: retryAfterSeconds * 1000}),
@@ -148,7 +148,7 @@
 			return FailureKind.badRequest;
 		}
 
-		case statusTooMany: {
+		case statusTooManyRequests: {
 			return FailureKind.queueFull;
 		}
 
@@ -158,9 +158,9 @@
 	}
 }
 
-const longestReason = 200;
+const maxReasonLength = 200;
 
 function errorMessage(body: unknown): string | undefined {
 	const message = (body as {error?: {message?: unknown}} | undefined)?.error?.message;
-	return typeof message === 'string' ? message.slice(0, longestReason) : undefined;
+	return typeof message === 'string' ? message.slice(0, maxReasonLength) : undefined;
 }
--- a/src/endpoint/engine-control.ts
+++ b/src/endpoint/engine-control.ts
@@ -2,17 +2,17 @@
 import {Agent} from 'node:http';
 import {z} from 'zod';
 import {openCall} from './open-call.js';
-import {discard, readJson} from './read-answer.js';
+import {discard, readJson} from './read-response.js';
 
 const loadSchema = z.object({
 	running: z.number(), waiting: z.number(), memoryUsed: z.number(), stepMilliseconds: z.number(),
 });
-/** An engine's own report. It lags, and it may be wrong. */
+/** The load that an engine reports. It lags behind, and it may be wrong. */
 export type EngineLoad = z.infer<typeof loadSchema>;
 
 const modelsSchema = z.object({data: z.array(z.object({id: z.string(), version: z.string().optional()}))});
 
-/** An order from the endpoint's own side; `fence` is the number that makes an older owner's order void. */
+/** An order from the endpoint's side; `fence` is the fencing token by which the engine rejects the orders of an earlier owner. */
 export type EngineOrder = {
 	readonly order: 'load-model' | 'load-adapter' | 'change-role';
 	readonly name: string;
@@ -22,7 +22,7 @@
 
 export type OrderResult
 	= | {readonly type: 'taken'}
-	/** The engine has seen a higher fencing number: another incarnation owns it. */
+	/** The engine has seen a higher fencing token: another incarnation of the side owns it. */
 		| {readonly type: 'fenced'}
 	/** `mayHaveHappened` is false only if the order certainly did not reach the engine. */
 		| {readonly type: 'failed'; readonly mayHaveHappened: boolean; readonly reason: string};
@@ -31,7 +31,7 @@
 const statusConflict = 409;
 const firstServerError = 500;
 
-/** What a side asks of its engine besides model calls: health, load, models and orders. */
+/** The client for an engine's control interface: health, load, models and orders. */
 export class EngineControl implements AsyncDisposable {
 	static create(settings: {readonly baseUrl: string; readonly timeoutMilliseconds: number}): EngineControl {
 		return new EngineControl(settings);
@@ -46,52 +46,52 @@
 		this.#timeoutMilliseconds = timeoutMilliseconds;
 	}
 
-	/** Whether the engine says that it serves; silence is a no. */
+	/** Whether the engine reports that it is healthy; false if it does not respond. */
 	async isHealthy(): Promise<boolean> {
-		const answer = await this.#call('GET', '/health');
-		return answer.type === 'answered' && answer.status === statusOk;
+		const response = await this.#call('GET', '/health');
+		return response.type === 'answered' && response.status === statusOk;
 	}
 
-	/** The load report; `undefined` if there is none to be had. */
+	/** The load report; `undefined` if the engine does not deliver a valid one. */
 	async load(): Promise<EngineLoad | undefined> {
-		const answer = await this.#call('GET', '/load');
-		return answer.type === 'answered' ? loadSchema.safeParse(answer.body).data : undefined;
+		const response = await this.#call('GET', '/load');
+		return response.type === 'answered' ? loadSchema.safeParse(response.body).data : undefined;
 	}
 
-	/** The loaded models with their versions; `undefined` if the engine does not say. */
+	/** The loaded models with their versions; `undefined` if the engine does not deliver a valid list. */
 	async models(): Promise<ReadonlyArray<{id: string; version?: string | undefined}> | undefined> {
-		const answer = await this.#call('GET', '/v1/models');
-		return answer.type === 'answered' ? modelsSchema.safeParse(answer.body).data?.data : undefined;
+		const response = await this.#call('GET', '/v1/models');
+		return response.type === 'answered' ? modelsSchema.safeParse(response.body).data?.data : undefined;
 	}
 
 	async order(order: EngineOrder): Promise<OrderResult> {
-		const answer = await this.#call('POST', '/orders', order);
-		if (answer.type === 'failed') {
-			return {type: 'failed', mayHaveHappened: answer.mayHaveHappened, reason: answer.reason};
+		const response = await this.#call('POST', '/orders', order);
+		if (response.type === 'failed') {
+			return {type: 'failed', mayHaveHappened: response.mayHaveHappened, reason: response.reason};
 		}
 
-		if (answer.status === statusOk) {
+		if (response.status === statusOk) {
 			return {type: 'taken'};
 		}
 
-		return answer.status === statusConflict
+		return response.status === statusConflict
 			? {type: 'fenced'}
-			: {type: 'failed', mayHaveHappened: answer.status >= firstServerError, reason: `status ${answer.status}`};
+			: {type: 'failed', mayHaveHappened: response.status >= firstServerError, reason: `status ${response.status}`};
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
 		this.#agent.destroy();
 	}
 
-	async #call(method: string, path: string, body?: unknown): Promise<ControlAnswer> {
+	async #call(method: string, path: string, body?: unknown): Promise<ControlResponse> {
 		const payload = body === undefined ? undefined : Buffer.from(JSON.stringify(body));
 		const opened = await openCall({
 			agent: this.#agent,
-			isFresh: body !== undefined,
+			usesNewConnection: body !== undefined,
 			url: this.#baseUrl + path,
 			method,
 			headers: payload === undefined ? {} : {'content-type': 'application/json', 'content-length': String(payload.length)},
-			headMilliseconds: this.#timeoutMilliseconds,
+			headerTimeoutMilliseconds: this.#timeoutMilliseconds,
 			write(sent) {
 				sent.end(payload);
 			},
@@ -100,16 +100,16 @@
 			return {type: 'failed', mayHaveHappened: opened.failure.verdict !== 'not-run', reason: opened.failure.message};
 		}
 
-		const answer = await readJson(opened.response);
+		const responseBody = await readJson(opened.response);
 		if (!opened.response.complete) {
 			discard(opened.response);
-			return {type: 'failed', mayHaveHappened: true, reason: 'the answer broke off'};
+			return {type: 'failed', mayHaveHappened: true, reason: 'the response was incomplete'};
 		}
 
-		return {type: 'answered', status: opened.response.statusCode ?? 0, body: answer};
+		return {type: 'answered', status: opened.response.statusCode ?? 0, body: responseBody};
 	}
 }
 
-type ControlAnswer
+type ControlResponse
 	= | {readonly type: 'answered'; readonly status: number; readonly body: unknown}
 		| {readonly type: 'failed'; readonly mayHaveHappened: boolean; readonly reason: string};
--- a/src/endpoint/engine-event.ts
+++ b/src/endpoint/engine-event.ts
@@ -1,10 +1,10 @@
 import {type Failure} from '../model/index.js';
 
-/** What an engine's answer consists of, each event checked. `data` is the JSON text as the engine wrote it. */
+/** One checked event of an engine's response. `data` is the JSON text as the engine sent it. */
 export type EngineEvent
 	= | {readonly type: 'token'; readonly index: number; readonly data: string}
 		| {readonly type: 'usage'; readonly data: string}
-	/** The engine said that its answer is whole. */
+	/** The engine sent `[DONE]`: the response is complete. */
 		| {readonly type: 'done'}
-	/** Nothing follows; what came before is good. */
+	/** The last event of a failed response; the events before it are valid. */
 		| {readonly type: 'failed'; readonly failure: Failure};
--- a/src/endpoint/engine-stream.ts
+++ b/src/endpoint/engine-stream.ts
@@ -1,37 +1,37 @@
 import {type IncomingMessage} from 'node:http';
 import {createParser} from 'eventsource-parser';
 import {type Failure} from '../model/index.js';
-import {AnswerChecker, badAnswer} from './answer-checker.js';
+import {ResponseChecker, createBadResponseFailure} from './response-checker.js';
 import {type EngineEvent} from './engine-event.js';
 import {EventQueue} from './event-queue.js';
-import {lostCall} from './open-call.js';
+import {createConnectionFailure} from './open-call.js';
 
 export type EngineStreamSettings = {
 	readonly response: IncomingMessage;
 	readonly requestId: string;
-	/** The number of the first token that is due. */
-	readonly first: number;
-	readonly silenceMilliseconds: number;
+	/** The expected index of the first token. */
+	readonly firstIndex: number;
+	readonly idleTimeoutMilliseconds: number;
 	readonly signal?: AbortSignal;
 };
 
-/** Yields the checked events of an answer, one array a turn; the last event is `done` or `failed`. */
+/** Yields the checked events of a response, one array for each turn of the event loop; the last event is `done` or `failed`. */
 export async function * readEngineStream(settings: EngineStreamSettings): AsyncGenerator<EngineEvent[]> {
-	const {response, silenceMilliseconds} = settings;
+	const {response, idleTimeoutMilliseconds} = settings;
 	const queue = EventQueue.create();
 	listen(settings, queue);
 	try {
 		for (;;) {
-			const turn = await queue.take(silenceMilliseconds);
-			switch (turn.type) {
+			const result = await queue.take(idleTimeoutMilliseconds);
+			switch (result.type) {
 				case 'events': {
-					yield turn.events;
+					yield result.events;
 					response.resume();
 					break;
 				}
 
 				case 'silent': {
-					yield [{type: 'failed', failure: badAnswer(`The engine sent nothing for ${silenceMilliseconds} ms.`)}];
+					yield [{type: 'failed', failure: createBadResponseFailure(`The engine sent nothing for ${idleTimeoutMilliseconds} ms.`)}];
 					return;
 				}
 
@@ -41,15 +41,15 @@
 			}
 		}
 	} finally {
-		// A whole answer has been read to its end, and its connection is used again. Any other is cut: that cancels it.
+		// A complete response has been read to its end, and its connection is reused. Otherwise closing the connection cancels the call.
 		if (!response.complete) {
 			response.destroy();
 		}
 	}
 }
 
-function listen({response, requestId, first, signal}: EngineStreamSettings, queue: EventQueue): void {
-	const checker = AnswerChecker.create(requestId, first);
+function listen({response, requestId, firstIndex, signal}: EngineStreamSettings, queue: EventQueue): void {
+	const checker = ResponseChecker.create(requestId, firstIndex);
 	const fail = (failure: Failure): void => {
 		queue.push({type: 'failed', failure});
 		queue.end();
@@ -76,12 +76,12 @@
 		}
 	});
 	response.on('end', () => {
-		fail(badAnswer('The engine ended its answer early.'));
+		fail(createBadResponseFailure('The engine ended its response early.'));
 	});
 	response.on('error', error => {
-		fail(lostCall(error, true, signal));
+		fail(createConnectionFailure(error, true, signal));
 	});
 	response.on('close', () => {
-		fail(lostCall(new Error('closed'), true, signal));
+		fail(createConnectionFailure(new Error('closed'), true, signal));
 	});
 }
--- a/src/endpoint/event-queue.ts
+++ b/src/endpoint/event-queue.ts
@@ -1,14 +1,14 @@
 import {type EngineEvent} from './engine-event.js';
 
-/** Past so many events that nobody took, the connection is not read until the consumer comes. */
-const pauseAtEvents = 256;
+/** With this many events in the queue, the connection is not read until the consumer takes them. */
+const highWaterMarkEvents = 256;
 
-/** What a queue says to its consumer: events of one turn, the end, or that nothing came in time. */
-export type Turn = {readonly type: 'events'; readonly events: EngineEvent[]} | {readonly type: 'ended'} | {readonly type: 'silent'};
+/** What `take` returns: the events of one turn, the end of the stream, or that no event arrived in time. */
+export type TakeResult = {readonly type: 'events'; readonly events: EngineEvent[]} | {readonly type: 'ended'} | {readonly type: 'silent'};
 
 /**
- * Events between the connection and the consumer. All that came in one turn of the event loop are
- * taken as one array, which keeps the cost of a hop off each single token.
+ * Buffers events between the connection and the consumer. All events of one turn of the event loop are
+ * taken as one array, so that the cost of waking the consumer is not paid for every token.
  */
 export class EventQueue {
 	static create(): EventQueue {
@@ -17,14 +17,14 @@
 
 	#events: EngineEvent[] = [];
 	#ended = false;
-	#notify: (() => void) | undefined;
+	#resolveWait: (() => void) | undefined;
 
 	private constructor() {
-		// Made by `create` alone.
+		// Use `create`.
 	}
 
 	get isFull(): boolean {
-		return this.#events.length >= pauseAtEvents;
+		return this.#events.length >= highWaterMarkEvents;
 	}
 
 	get isEnded(): boolean {
@@ -37,18 +37,18 @@
 		}
 
 		this.#events.push(event);
-		this.#wake();
+		this.#notify();
 	}
 
-	/** Nothing is taken in after this; what is there can still be taken out. */
+	/** Ends the queue: later events are ignored, queued ones can still be taken. */
 	end(): void {
 		this.#ended = true;
-		this.#wake();
+		this.#notify();
 	}
 
-	async take(silenceMilliseconds: number): Promise<Turn> {
+	async take(idleTimeoutMilliseconds: number): Promise<TakeResult> {
 		if (this.#events.length === 0 && !this.#ended) {
-			await this.#next(silenceMilliseconds);
+			await this.#waitForChange(idleTimeoutMilliseconds);
 		}
 
 		if (this.#events.length > 0) {
@@ -60,18 +60,18 @@
 		return this.#ended ? {type: 'ended'} : {type: 'silent'};
 	}
 
-	#next(silenceMilliseconds: number): Promise<void> {
+	#waitForChange(idleTimeoutMilliseconds: number): Promise<void> {
 		return new Promise<void>(resolve => {
-			const timer = setTimeout(resolve, silenceMilliseconds);
-			this.#notify = () => {
+			const timer = setTimeout(resolve, idleTimeoutMilliseconds);
+			this.#resolveWait = () => {
 				clearTimeout(timer);
 				resolve();
 			};
 		});
 	}
 
-	#wake(): void {
-		this.#notify?.();
-		this.#notify = undefined;
+	#notify(): void {
+		this.#resolveWait?.();
+		this.#resolveWait = undefined;
 	}
 }
--- a/src/endpoint/index.ts
+++ b/src/endpoint/index.ts
@@ -1,7 +1,7 @@
-/** Clients of model engines and plain services: what they yield is checked, and each failure has a verdict. */
+/** Clients of model engines and plain services. What they yield is checked, and each failure carries a verdict. */
 export {EngineClient, type EngineClientSettings, type EngineRun} from './engine-client.js';
 export {EngineControl, type EngineLoad, type EngineOrder, type OrderResult} from './engine-control.js';
 export type {EngineEvent} from './engine-event.js';
 export {
-	ServiceClient, type ServiceAnswer, type ServiceCall, type ServiceClientSettings,
+	ServiceClient, type ServiceResponse, type ServiceCall, type ServiceClientSettings,
 } from './service-client.js';
--- a/src/endpoint/open-call.ts
+++ b/src/endpoint/open-call.ts
@@ -5,54 +5,54 @@
 export type CallSettings = {
 	readonly agent: Agent;
 	/**
-	 * A kept connection may have been closed by the endpoint while the call was on its way, and the
-	 * failure then looks like a lost answer. A call that must not be repeated gets a connection of
-	 * its own, so that an endpoint that is down is told as `notRun`, with certainty.
+	 * The endpoint may close a keep-alive connection while a call is in flight, and the failure then
+	 * looks like a lost response. A call that must not be repeated therefore gets a new connection, so
+	 * that an endpoint that is down is reliably reported as `notRun`.
 	 */
-	readonly isFresh: boolean;
+	readonly usesNewConnection: boolean;
 	readonly url: string;
 	readonly method: string;
 	readonly headers: Readonly<Record<string, string>>;
 	readonly signal?: AbortSignal;
-	/** How long the head of the answer may take. */
-	readonly headMilliseconds: number;
+	/** How long to wait for the response headers. */
+	readonly headerTimeoutMilliseconds: number;
 	/** Writes the body and ends the request. */
-	readonly write: (sent: ClientRequest) => void;
+	readonly write: (request: ClientRequest) => void;
 };
 
-export type OpenedCall
+export type CallResult
 	= | {readonly type: 'answered'; readonly response: IncomingMessage}
 		| {readonly type: 'failed'; readonly failure: Failure};
 
 /**
- * Sends a call to the endpoint and waits for the head of its answer. The verdict of a failure is
- * `notRun` only while no connection stood: Node writes nothing before that, so the endpoint can't
- * have seen the call. After that a lost answer tells nothing.
+ * Sends a call to the endpoint and waits for the response headers. The verdict of a failure is
+ * `notRun` only if no connection was established: Node writes nothing before that, so the endpoint
+ * can't have received the call. After that, a lost response does not tell whether the call ran.
  */
-export function openCall(settings: CallSettings): Promise<OpenedCall> {
-	return new Promise<OpenedCall>(resolve => {
-		const sent = httpRequest(settings.url, {
-			agent: settings.isFresh ? false : settings.agent, method: settings.method, headers: settings.headers, signal: settings.signal,
+export function openCall(settings: CallSettings): Promise<CallResult> {
+	return new Promise<CallResult>(resolve => {
+		const request = httpRequest(settings.url, {
+			agent: settings.usesNewConnection ? false : settings.agent, method: settings.method, headers: settings.headers, signal: settings.signal,
 		});
 		const timer = setTimeout(() => {
-			sent.destroy(Object.assign(new Error('no answer in time'), {code: 'ETIMEDOUT'}));
-		}, settings.headMilliseconds);
-		const connection = watchConnection(sent);
-		// The listener stays: an error after the answer began is reported by the response, and must not be thrown here.
-		sent.on('error', error => {
+			request.destroy(Object.assign(new Error('no response in time'), {code: 'ETIMEDOUT'}));
+		}, settings.headerTimeoutMilliseconds);
+		const connection = watchConnection(request);
+		// The listener is not removed: the response reports an error after the headers, and it must not be thrown here as well.
+		request.on('error', error => {
 			clearTimeout(timer);
-			resolve({type: 'failed', failure: lostCall(error, connection.stood, settings.signal)});
+			resolve({type: 'failed', failure: createConnectionFailure(error, connection.stood, settings.signal)});
 		});
-		sent.once('response', response => {
+		request.once('response', response => {
 			clearTimeout(timer);
 			resolve({type: 'answered', response});
 		});
-		settings.write(sent);
+		settings.write(request);
 	});
 }
 
-/** The failure of a call whose connection broke, or never came about. */
-export function lostCall(error: Error, connected: boolean, signal: AbortSignal | undefined): Failure {
+/** The failure for a call whose connection broke or was never established. */
+export function createConnectionFailure(error: Error, connected: boolean, signal: AbortSignal | undefined): Failure {
 	const verdict = connected ? Verdict.mayHaveRun : Verdict.notRun;
 	if (signal?.aborted) {
 		return createFailure(FailureKind.cancelled, 'The request was cancelled.', {verdict});
@@ -61,5 +61,5 @@
 	const code = (error as NodeJS.ErrnoException).code ?? 'no code';
 	return connected
 		? createFailure(FailureKind.endpointLost, `The connection to the endpoint broke (${code}).`, {verdict})
-		: createFailure(FailureKind.noEndpoint, `The endpoint takes no connection (${code}).`, {verdict});
+		: createFailure(FailureKind.noEndpoint, `The endpoint does not accept connections (${code}).`, {verdict});
 }
--- a/src/endpoint/read-answer.ts
+++ b/src/endpoint/read-response.ts
@@ -1,10 +1,10 @@
 import {Buffer} from 'node:buffer';
 import {type IncomingMessage} from 'node:http';
 
-/** Reports, model lists and error bodies are small; more than this is not from an endpoint that keeps the protocol. */
-const maximumBytes = 1024 * 1024;
+/** Load reports, model lists and error bodies are small; a larger body violates the protocol. */
+const maxJsonBytes = 1024 * 1024;
 
-/** The parsed body; `undefined` if it is lost, too large or no JSON. */
+/** The parsed body; `undefined` if it is incomplete, too large or not JSON. */
 export async function readJson(response: IncomingMessage): Promise<unknown> {
 	const chunks: Uint8Array[] = [];
 	let total = 0;
@@ -12,7 +12,7 @@
 		for await (const chunk of response as AsyncIterable<Uint8Array>) {
 			chunks.push(chunk);
 			total += chunk.length;
-			if (total > maximumBytes) {
+			if (total > maxJsonBytes) {
 				return undefined;
 			}
 		}
@@ -23,10 +23,10 @@
 	}
 }
 
-/** Cuts an answer that nobody is to read. */
+/** Closes the connection of a response whose body is not needed. */
 export function discard(response: IncomingMessage): void {
 	response.on('error', () => {
-		// The cut is ours.
+		// Caused by closing the connection.
 	});
 	response.destroy();
 }
--- a/src/endpoint/service-client.ts
+++ b/src/endpoint/service-client.ts
@@ -1,62 +1,62 @@
 import {Agent, type ClientRequest, type IncomingMessage} from 'node:http';
 import {Readable, pipeline} from 'node:stream';
 import {RequestError, type Failure} from '../model/index.js';
-import {lostCall, openCall} from './open-call.js';
-import {headersToCaller, headersToService} from './service-headers.js';
+import {createConnectionFailure, openCall} from './open-call.js';
+import {responseHeadersForCaller, requestHeadersForService} from './service-headers.js';
 
 export type ServiceClientSettings = {
 	readonly baseUrl: string;
-	/** How long a service may take until the head of its answer. */
-	readonly headMilliseconds?: number;
+	/** How long to wait for the response headers. */
+	readonly headerTimeoutMilliseconds?: number;
 };
 
 export type ServiceCall = {
 	readonly requestId: string;
 	readonly method: string;
-	/** Path and query, as the service is to see them. */
+	/** Path and query, as they are sent to the service. */
 	readonly path: string;
 	readonly headers: Readonly<Record<string, string>>;
-	/** Bytes, or a stream of them; a stream that throws cuts the call. */
+	/** Bytes, or a stream of them; a stream that throws aborts the call. */
 	readonly body: Uint8Array | AsyncIterable<Uint8Array>;
 	readonly idempotencyKey?: string;
-	/** Aborting cuts the call, which may have run all the same. */
+	/** Aborting closes the connection; the call may have run nevertheless. */
 	readonly signal?: AbortSignal;
 };
 
-export type ServiceAnswer
-	/** Any status counts as an answer. `body` throws `RequestError` if it breaks off. */
+export type ServiceResponse
+	/** A response with any status. `body` throws `RequestError` if it is incomplete. */
 	= | {readonly type: 'answered'; readonly status: number; readonly headers: Record<string, string>; readonly body: AsyncGenerator<Uint8Array>}
 		| {readonly type: 'failed'; readonly failure: Failure};
 
-/** Service calls may be long jobs: a minute bounds those whose connection has silently died. */
-const defaultHeadMilliseconds = 60_000;
+/** Service calls may be long jobs; a minute bounds those whose connection is dead without having been closed. */
+const defaultHeaderTimeoutMilliseconds = 60_000;
 
-/** Passes plain HTTP calls through to one service, bodies streamed in both directions. */
+/** Proxies plain HTTP calls to one service, with bodies streamed in both directions. */
 export class ServiceClient implements AsyncDisposable {
 	static create(settings: ServiceClientSettings): ServiceClient {
 		return new ServiceClient(settings);
 	}
 
 	readonly #baseUrl: string;
-	readonly #headMilliseconds: number;
+	readonly #headerTimeoutMilliseconds: number;
 	readonly #agent = new Agent({keepAlive: true, noDelay: true});
 
 	private constructor(settings: ServiceClientSettings) {
 		this.#baseUrl = settings.baseUrl.replace(/\/$/v, '');
-		this.#headMilliseconds = settings.headMilliseconds ?? defaultHeadMilliseconds;
+		this.#headerTimeoutMilliseconds = settings.headerTimeoutMilliseconds ?? defaultHeaderTimeoutMilliseconds;
 	}
 
-	async call(call: ServiceCall): Promise<ServiceAnswer> {
+	async call(call: ServiceCall): Promise<ServiceResponse> {
 		const opened = await openCall({
 			agent: this.#agent,
-			isFresh: call.idempotencyKey !== undefined,
+			usesNewConnection: call.idempotencyKey !== undefined,
 			url: this.#baseUrl + call.path,
 			method: call.method,
 			headers: headersOf(call),
 			signal: call.signal,
-			headMilliseconds: this.#headMilliseconds,
-			write(sent) {
-				writeBody(sent, call.body);
+			headerTimeoutMilliseconds: this.#headerTimeoutMilliseconds,
+			write(request) {
+				writeBody(request, call.body);
 			},
 		});
 		if (opened.type === 'failed') {
@@ -65,7 +65,7 @@
 
 		const {response} = opened;
 		return {
-			type: 'answered', status: response.statusCode ?? 0, headers: headersToCaller(response.headers), body: readBody(response, call.signal),
+			type: 'answered', status: response.statusCode ?? 0, headers: responseHeadersForCaller(response.headers), body: readBody(response, call.signal),
 		};
 	}
 
@@ -76,27 +76,28 @@
 
 function headersOf(call: ServiceCall): Record<string, string> {
 	return {
-		...headersToService(call.headers),
+		...requestHeadersForService(call.headers),
 		...(call.body instanceof Uint8Array && {'content-length': String(call.body.length)}),
 		'x-request-id': call.requestId,
 		...(call.idempotencyKey !== undefined && {'idempotency-key': call.idempotencyKey}),
 	};
 }
 
-function writeBody(sent: ClientRequest, body: ServiceCall['body']): void {
+function writeBody(request: ClientRequest, body: ServiceCall['body']): void {
 	if (body instanceof Uint8Array) {
-		sent.end(body);
+		request.end(body);
 		return;
 	}
 
-	pipeline(Readable.from(body), sent, () => {
-		// A body that breaks off destroys the call, which reports it.
+	pipeline(Readable.from(body), request, () => {
+		// An incomplete body destroys the request, whose error listener reports it.
 	});
 }
 
 /**
- * Failure: a service dies in the middle of an answer. Symptom: the caller takes half a ticket for a
- * whole one. Node tells a body that broke off from one that ended, and this passes it on as a throw.
+ * Yields the body and throws if it is incomplete. Node distinguishes a truncated body from one that
+ * ended; without the error, a caller of a service that dies in the middle of a response would take
+ * half a ticket for a complete one.
  */
 async function * readBody(response: IncomingMessage, signal: AbortSignal | undefined): AsyncGenerator<Uint8Array> {
 	try {
@@ -104,6 +105,6 @@
 			yield chunk;
 		}
 	} catch (error) {
-		throw RequestError.create(lostCall(error instanceof Error ? error : new Error(String(error)), true, signal));
+		throw RequestError.create(createConnectionFailure(error instanceof Error ? error : new Error(String(error)), true, signal));
 	}
 }
--- a/src/endpoint/service-headers.ts
+++ b/src/endpoint/service-headers.ts
@@ -1,7 +1,7 @@
 import {type IncomingHttpHeaders} from 'node:http';
 
-/** What concerns the content of a request; everything else, keys above all, stays with the entry. */
-const requestHeaders: ReadonlySet<string> = new Set([
+/** Headers about the content of a request. All others, API keys above all, are not forwarded to the service. */
+const forwardedRequestHeaders: ReadonlySet<string> = new Set([
 	'accept',
 	'accept-encoding',
 	'accept-language',
@@ -17,24 +17,24 @@
 	'range',
 ]);
 
-/** Headers that belong to one connection, or name a session of the endpoint's own. */
-const heldBack: ReadonlySet<string> = new Set([
+/** Headers of a single connection (hop-by-hop), and `set-cookie`, which names a session of the endpoint. */
+const droppedResponseHeaders: ReadonlySet<string> = new Set([
 	'connection', 'keep-alive', 'proxy-authenticate', 'proxy-authorization', 'set-cookie', 'te', 'trailer', 'transfer-encoding', 'upgrade',
 ]);
 
-/** The headers of a caller that a plain service may see. */
-export function headersToService(headers: Readonly<Record<string, string>>): Record<string, string> {
-	return Object.fromEntries(Object.entries(headers).filter(([name]) => requestHeaders.has(name.toLowerCase())));
+/** The request headers of a caller that are forwarded to a plain service. */
+export function requestHeadersForService(headers: Readonly<Record<string, string>>): Record<string, string> {
+	return Object.fromEntries(Object.entries(headers).filter(([name]) => forwardedRequestHeaders.has(name.toLowerCase())));
 }
 
-/** The headers of a plain service that its caller may see. */
-export function headersToCaller(headers: IncomingHttpHeaders): Record<string, string> {
-	const passed: Record<string, string> = {};
+/** The response headers of a plain service that are forwarded to its caller. */
+export function responseHeadersForCaller(headers: IncomingHttpHeaders): Record<string, string> {
+	const forwarded: Record<string, string> = {};
 	for (const [name, value] of Object.entries(headers)) {
-		if (typeof value === 'string' && !heldBack.has(name)) {
-			passed[name] = value;
+		if (typeof value === 'string' && !droppedResponseHeaders.has(name)) {
+			forwarded[name] = value;
 		}
 	}
 
-	return passed;
+	return forwarded;
 }
--- a/test/endpoint/engine-client.test.ts
+++ b/test/endpoint/engine-client.test.ts
@@ -31,7 +31,7 @@
 	return expectedAnswer(Buffer.from(run.body).toString('utf8'));
 }
 
-tap.test('a whole answer comes token by token, then usage, then done', async t => {
+tap.test('a complete response yields each token, then usage, then done', async t => {
 	await using engine = await FakeEngine.create({costs});
 	await using client = EngineClient.create({baseUrl: engine.url});
 	const run = runOf('hello [[tokens=30]]', {idempotencyKey: 'k'});
@@ -41,7 +41,7 @@
 	t.equal(engine.runsByKey.get('k'), 1);
 });
 
-tap.test('a call resumes with the next token', async t => {
+tap.test('a resumed call continues with the next token', async t => {
 	await using engine = await FakeEngine.create({costs});
 	await using client = EngineClient.create({baseUrl: engine.url});
 	const run = runOf('resume [[tokens=30]]');
@@ -52,9 +52,9 @@
 	t.equal(engine.resumeMismatches, 0);
 });
 
-tap.test('faulty events end the answer as failed and are never passed on', async t => {
-	// The engine repeats, skips, mixes up or invents an event. The caller would read a wrong word.
-	// The answer must stop before that event, with all that came before it right.
+tap.test('invalid events end the response as failed and are never forwarded', async t => {
+	// The engine repeats or skips events, sends a foreign one or truncates the stream: the caller would receive wrong text.
+	// The response must end before the first such event, and everything before it must be correct.
 	for (const fault of ['duplicateEvents', 'dropEvents', 'foreignEvents', 'truncateStreams'] as const) {
 		await using engine = await FakeEngine.create({costs});
 		await using client = EngineClient.create({baseUrl: engine.url});
@@ -70,29 +70,29 @@
 	}
 });
 
-tap.test('events that two requests got of each other fail both', async t => {
-	// Two callers read streams of one engine, which writes an event of one into the other's stream.
-	// The receiver sees a foreign id, the owner a gap: neither may end as whole with a wrong word.
+tap.test('events exchanged between two requests fail both', async t => {
+	// The engine writes an event of one stream into another. The receiving stream sees a foreign request
+	// id, the other one a gap: neither response may end as complete with wrong text.
 	await using engine = await FakeEngine.create({costs, faults: {crossEvents: 1}});
 	await using client = EngineClient.create({baseUrl: engine.url});
 	const runs = [runOf('first [[tokens=40]]'), runOf('second [[tokens=40]]')];
-	const answers = await Promise.all(runs.map(run => collect(client.run(run))));
-	for (const [index, events] of answers.entries()) {
+	const responses = await Promise.all(runs.map(run => collect(client.run(run))));
+	for (const [index, events] of responses.entries()) {
 		t.match(events.at(-1), {type: 'failed', failure: {kind: 'bad_answer'}});
 		t.ok(expected(runs[index]!).startsWith(textOf(events)));
 	}
 });
 
-tap.test('an answer that lost its last token is not whole', async t => {
-	// Found by the soak, seed 5: the engine wrote the last token of one answer into another stream, and
-	// then ended the first with usage and [DONE]. No later number showed the gap, so the caller took
-	// 59 of 60 tokens for the whole answer. The count in the usage event tells.
+tap.test('a response that lacks its last token is not complete', async t => {
+	// The engine writes the last token of one response into another stream and then ends the first with usage
+	// and [DONE]. No later token index reveals the gap, so the caller would take 59 of 60 tokens for the complete
+	// response; only the count in the usage event shows it (soak seed 5).
 	await using engine = await FakeEngine.create({costs, faults: {dropEvents: 1}});
 	await using client = EngineClient.create({baseUrl: engine.url});
 	t.match(await collect(client.run(runOf('one token [[tokens=1]]'))), [{type: 'usage'}, {type: 'failed', failure: {kind: 'bad_answer', verdict: 'may-have-run'}}]);
 });
 
-tap.test('a late event of an earlier request is not passed on', async t => {
+tap.test('a late event of an earlier request is not forwarded', async t => {
 	await using engine = await FakeEngine.create({costs});
 	await using client = EngineClient.create({baseUrl: engine.url});
 	await collect(client.run(runOf('earlier [[tokens=3]]')));
@@ -100,7 +100,7 @@
 	t.match((await collect(client.run(runOf('later [[tokens=3]]')))), [{type: 'failed', failure: {kind: 'bad_answer'}}]);
 });
 
-tap.test('a crash mid-stream keeps what came before it and may have run', async t => {
+tap.test('a crash in mid-stream keeps the events before it, and the request may have run', async t => {
 	await using engine = await FakeEngine.create({costs, faults: {crashAfterTokens: 10}});
 	await using client = EngineClient.create({baseUrl: engine.url});
 	const run = runOf('crash [[tokens=40]]');
@@ -109,7 +109,7 @@
 	t.ok(expected(run).startsWith(textOf(events)));
 });
 
-tap.test('verdicts: refused and unreachable did not run, a server error may have', async t => {
+tap.test('verdicts: a refused or unreachable call did not run, a server error may have run', async t => {
 	await using engine = await FakeEngine.create({costs, faults: {refuseRequests: 1}});
 	await using client = EngineClient.create({baseUrl: engine.url});
 	t.match(await collect(client.run(runOf('a'))), [{type: 'failed', failure: {kind: 'queue_full', verdict: 'not-run', retryAfterMilliseconds: 1000}}]);
@@ -120,21 +120,21 @@
 	t.equal(engine.runsByRequest.size, 0);
 });
 
-tap.test('an engine that freezes is given up after a bounded silence', async t => {
+tap.test('a call to a frozen engine fails after the idle timeout', async t => {
 	await using engine = await FakeEngine.create({costs, faults: {frozen: true}});
-	await using client = EngineClient.create({baseUrl: engine.url, silenceMilliseconds: 50});
+	await using client = EngineClient.create({baseUrl: engine.url, idleTimeoutMilliseconds: 50});
 	t.match(await collect(client.run(runOf('frozen'))), [{type: 'failed', failure: {verdict: 'may-have-run'}}]);
 	engine.faults.mode = 'hang';
 	t.match(await collect(client.run(runOf('hangs'))), [{type: 'failed', failure: {verdict: 'may-have-run'}}]);
 });
 
-tap.test('ending the iteration, and aborting, cancels at the engine', async t => {
+tap.test('ending the iteration or aborting cancels the run at the engine', async t => {
 	await using engine = await FakeEngine.create();
 	await using client = EngineClient.create({baseUrl: engine.url});
-	const left = client.run(runOf('left [[tokens=4000]]'));
-	const turn = await left.next();
+	const abandoned = client.run(runOf('left [[tokens=4000]]'));
+	const turn = await abandoned.next();
 	t.notOk(turn.done);
-	await left.return(undefined);
+	await abandoned.return(undefined);
 
 	const controller = new AbortController();
 	for await (const turn of client.run(runOf('abort [[tokens=4000]]', {signal: controller.signal}))) {
@@ -149,9 +149,9 @@
 	t.ok(engine.tokensProduced < 8000);
 });
 
-tap.test('a consumer that does not ask holds back its own stream in bounded memory', async t => {
-	// The caller reads one turn and then nothing, while the engine goes on. The connection must
-	// stay unread, and the rest must still come whole and in order once the caller reads again.
+tap.test('a consumer that does not read applies backpressure to its own stream in bounded memory', async t => {
+	// The consumer reads one batch and then nothing, while the engine continues. The connection must
+	// stay unread, and the rest must arrive completely and in order once the consumer reads again.
 	await using engine = await FakeEngine.create({costs: {stepMilliseconds: 0.01, stepMillisecondsPerRequest: 0}});
 	await using client = EngineClient.create({baseUrl: engine.url});
 	const run = runOf('slow [[tokens=6000]]');
