--- a/src/endpoint/engine-control.ts
+++ b/src/endpoint/engine-control.ts
@@ -12,7 +12,7 @@
 
 const modelsSchema = z.object({data: z.array(z.object({id: z.string(), version: z.string().optional()}))});
 
-/** An order from the endpoint's side; `fence` is the fencing token by which the engine rejects the orders of an earlier owner. */
+/** An order from the endpoint's side; `fence` is the fencing number by which the engine rejects the orders of an earlier owner. */
 export type EngineOrder = {
 	readonly order: 'load-model' | 'load-adapter' | 'change-role';
 	readonly name: string;
@@ -22,7 +22,7 @@
 
 export type OrderResult
 	= | {readonly type: 'taken'}
-	/** The engine has seen a higher fencing token: another incarnation of the side owns it. */
+	/** The engine has seen a higher fencing number: another incarnation of the side owns it. */
 		| {readonly type: 'fenced'}
 	/** `mayHaveHappened` is false only if the order certainly did not reach the engine. */
 		| {readonly type: 'failed'; readonly mayHaveHappened: boolean; readonly reason: string};
--- a/src/side/body-parts.ts
+++ b/src/side/body-parts.ts
@@ -1,16 +1,16 @@
 /**
- * The parts of a request body on their way to a service: pushed as they come from the entry, read as
- * the service takes them. The entry sends no more than its window ahead, so what waits is bounded.
+ * Buffers the parts of a request body between the entry, which pushes them, and the service, which
+ * reads them. The entry sends no more than its flow-control window ahead, so the buffer is bounded.
  */
 export class BodyParts implements AsyncIterable<Uint8Array> {
-	/** `onTaken` is called with the number of parts that the service took. */
+	/** `onTaken` is called with the number of parts that the service has read. */
 	static create(onTaken: (parts: number) => void): BodyParts {
 		return new BodyParts(onTaken);
 	}
 
 	readonly #onTaken: (parts: number) => void;
 	readonly #parts: Uint8Array[] = [];
-	#end: 'open' | 'whole' | 'broken' = 'open';
+	#state: 'open' | 'whole' | 'broken' = 'open';
 	#wake: (() => void) | undefined;
 
 	private constructor(onTaken: (parts: number) => void) {
@@ -22,10 +22,10 @@
 		this.#wake?.();
 	}
 
-	/** Ends the body: whole, or broken off because the caller left. */
+	/** Ends the body: `whole` if it is complete, `broken` if the caller disconnected before that. */
 	end(how: 'whole' | 'broken'): void {
-		if (this.#end === 'open') {
-			this.#end = how;
+		if (this.#state === 'open') {
+			this.#state = how;
 			this.#wake?.();
 		}
 	}
@@ -39,11 +39,11 @@
 				continue;
 			}
 
-			if (this.#end === 'whole') {
+			if (this.#state === 'whole') {
 				return;
 			}
 
-			if (this.#end === 'broken') {
+			if (this.#state === 'broken') {
 				throw new Error('The caller left before its body was complete.');
 			}
 
--- a/src/side/credit-window.ts
+++ b/src/side/credit-window.ts
@@ -2,9 +2,10 @@
 import {type RunInput} from './reservation.js';
 
 /**
- * How many more events the entry is ready to take. Failure: a caller that reads slowly makes its
- * answer pile up at the entry. Symptom: memory grows with each slow caller. A run that has used up
- * its credit stops reading the engine, so the engine's own flow control holds just that stream back.
+ * Credit-based flow control: how many more events the entry is ready to receive. A run that has used up
+ * its credit stops reading from the engine, so the backpressure affects that stream only. Without this,
+ * the responses of callers that read slowly would pile up at the entry, and its memory would grow with
+ * each slow caller.
  */
 export class CreditWindow {
 	static create(events: number, input: Channel<RunInput>): CreditWindow {
@@ -12,9 +13,9 @@
 	}
 
 	/**
-	 * How long the last `hasCredit` waited. Failure: a caller's slowness is counted as time between
-	 * the engine's tokens. Symptom: one slow caller takes slots from everybody. Whoever measures the
-	 * engine takes this time off.
+	 * How long the last `hasCredit` waited, in milliseconds. It must be subtracted from measured times
+	 * between tokens: otherwise the slowness of one caller would be attributed to the engine, and the
+	 * endpoint's slots would be reduced for all callers.
 	 */
 	waitedMilliseconds = 0;
 	#available: number;
@@ -25,18 +26,18 @@
 		this.#input = input;
 	}
 
-	/** Counts events that were sent. One turn's events may overdraw the window by that turn. */
+	/** Deducts events that were sent. The events of one turn may overdraw the window by up to that turn. */
 	spend(events: number): void {
 		this.#available -= events;
 	}
 
-	/** Takes the credit that has come and waits for some if there is none; false if the entry cancelled. */
+	/** Applies received credit and waits for more if none is left; false if the entry cancelled. */
 	* hasCredit(): Body<boolean> {
 		this.waitedMilliseconds = 0;
 		while (this.#available <= 0) {
-			const waitsSince = performance.now();
+			const waitStartedAt = performance.now();
 			const message = yield * receive(this.#input);
-			this.waitedMilliseconds += performance.now() - waitsSince;
+			this.waitedMilliseconds += performance.now() - waitStartedAt;
 			if (!this.#take(message)) {
 				return false;
 			}
@@ -51,7 +52,7 @@
 		return true;
 	}
 
-	/** False if the run is over: cancelled, or its input closed. */
+	/** Applies one message; false if the run is over: cancelled, or its input closed. */
 	#take(message: RunInput | undefined): boolean {
 		if (message === undefined || message.type === 'cancel') {
 			return false;
--- a/src/side/endpoint-watch.ts
+++ b/src/side/endpoint-watch.ts
@@ -1,18 +1,18 @@
 import {type Body, sleep, spawn, wait} from '../concurrency/index.js';
 import {type EngineControl, type EngineLoad} from '../endpoint/index.js';
 
-/** A load report is used for memory pressure alone, which moves over seconds. */
-const watchMilliseconds = 500;
-/** Failed checks in a row before an endpoint counts as down; one alone may be a slow moment. */
+/** The load report is used only for memory pressure, which changes over seconds. */
+const checkIntervalMilliseconds = 500;
+/** Consecutive failed checks after which an endpoint counts as down; a single one may be a short delay. */
 const failuresUntilDown = 2;
 
-/** What the watch reports to its side. */
+/** Receives the results of the watch; implemented by `Side`. */
 export type EndpointObserver = {
 	setEndpointUp(up: boolean): void;
 	loadReported(load: EngineLoad): void;
 };
 
-/** Asks the endpoint for its health and load, for as long as the side lives. */
+/** Polls the endpoint's health and load until it is disposed. */
 export class EndpointWatch implements AsyncDisposable {
 	static create(control: EngineControl, observer: EndpointObserver): EndpointWatch {
 		const watch = new EndpointWatch(control, observer);
@@ -40,7 +40,7 @@
 	* #run(): Body<void> {
 		while (!this.#closed) {
 			yield * this.#check();
-			yield * sleep(watchMilliseconds);
+			yield * sleep(checkIntervalMilliseconds);
 		}
 	}
 
--- a/src/side/entry-link.ts
+++ b/src/side/entry-link.ts
@@ -2,20 +2,20 @@
 import {type Connection, type Message, protocolVersion} from '../wire/index.js';
 import {type Reservation} from './reservation.js';
 
-/** What one entry's connection needs of the side it ends at. */
-export type EntryLinkOwner = {
+/** Handles the messages and the end of an entry's connection; implemented by `Side`. */
+export type EntryLinkHandler = {
 	handle(link: EntryLink, message: Message): void;
 	linkClosed(link: EntryLink): void;
 };
 
-/** One entry's connection, and the reservations that came over it, by stream number. */
+/** The connection of one entry, and the reservations made over it, by stream number. */
 export class EntryLink {
 	static create(connection: Connection, number: number): EntryLink {
 		return new EntryLink(connection, number);
 	}
 
 	readonly reservations = new Map<number, Reservation>();
-	/** The entry's incarnation, known once its `hello` has come. */
+	/** The entry's incarnation, known once its `hello` has arrived. */
 	instance: string | undefined;
 	readonly number: number;
 	readonly connection: Connection;
@@ -29,8 +29,8 @@
 		this.connection.send(message);
 	}
 
-	/** Reads until the connection ends. The first message must be `hello`. */
-	* read(owner: EntryLinkOwner): Body<void> {
+	/** Reads messages until the connection ends. The first one must be `hello`. */
+	* read(handler: EntryLinkHandler): Body<void> {
 		for (;;) {
 			const messages = yield * receive(this.connection.incoming);
 			if (messages === undefined) {
@@ -38,23 +38,23 @@
 			}
 
 			for (const message of messages) {
-				this.#accept(message, owner);
+				this.#accept(message, handler);
 			}
 		}
 
-		owner.linkClosed(this);
+		handler.linkClosed(this);
 	}
 
-	#accept(message: Message, owner: EntryLinkOwner): void {
-		if (this.instance === undefined && !this.#greet(message)) {
+	#accept(message: Message, handler: EntryLinkHandler): void {
+		if (this.instance === undefined && !this.#acceptHello(message)) {
 			this.connection.close('no hello from an entry of this protocol version');
 			return;
 		}
 
-		owner.handle(this, message);
+		handler.handle(this, message);
 	}
 
-	#greet(message: Message): boolean {
+	#acceptHello(message: Message): boolean {
 		if (message.type !== 'hello' || message.role !== 'entry' || message.protocol !== protocolVersion) {
 			return false;
 		}
--- a/src/side/index.ts
+++ b/src/side/index.ts
@@ -1,5 +1,5 @@
-/** The process beside one endpoint: its queue, its slots, and the only sender to it. */
+/** The side (the sidecar process of one endpoint): its queue, its slots, and the only sender of requests to the endpoint. */
 export {Side, type SideOptions} from './side.js';
 export {EndpointWatch, type EndpointObserver} from './endpoint-watch.js';
-export {type Backend} from './work.js';
+export {type Backend} from './request-executor.js';
 export {SideTelemetry} from './side-telemetry.js';
--- a/src/side/model-run.ts
+++ b/src/side/model-run.ts
@@ -3,25 +3,25 @@
 import {createFailure, FailureKind, Verdict} from '../model/index.js';
 import {type MessageOf} from '../wire/index.js';
 import {CreditWindow} from './credit-window.js';
-import {type Reservation, type RunEnd, type RunningPhase, toEntry} from './reservation.js';
+import {type Reservation, type RunResult, type RunningPhase, sendToEntry} from './reservation.js';
 
-/** One model call that is to run here. */
+/** One model call to run at this endpoint. */
 export type ModelRun = {
 	readonly engine: EngineClient;
 	readonly reservation: Reservation;
 	readonly phase: RunningPhase;
 	readonly start: MessageOf<'start'>;
-	/** Called with the number of tokens that were passed on. */
+	/** Called with the number of tokens that were forwarded. */
 	readonly onTokens: (tokens: number) => void;
 };
 
 /**
- * Runs a model call at the engine and passes its events to the entry, in order and within credit.
- * The entry hears `end` only after the engine said that the answer is whole.
+ * Runs a model call at the engine and forwards its events to the entry, in order and within the credit.
+ * `end` is sent to the entry only after the engine has marked the response as complete.
  */
-export function * runModel({engine, reservation, phase, start, onTokens}: ModelRun): Body<RunEnd> {
+export function * runModel({engine, reservation, phase, start, onTokens}: ModelRun): Body<RunResult> {
 	const credit = CreditWindow.create(start.credit, phase.input);
-	const answer = AnswerInProgress.create(reservation, start.resumeTokens, onTokens);
+	const forwarder = ResponseForwarder.create(reservation, start.resumeTokens, onTokens);
 	const events = engine.run({
 		requestId: reservation.summary.id,
 		method: start.method,
@@ -43,13 +43,13 @@
 		}
 
 		if (next.done) {
-			return {type: 'failed', failure: createFailure(FailureKind.badAnswer, 'The engine ended its answer early.', {verdict: Verdict.mayHaveRun})};
+			return {type: 'failed', failure: createFailure(FailureKind.badAnswer, 'The engine ended its response early.', {verdict: Verdict.mayHaveRun})};
 		}
 
-		const end = answer.take(next.value);
+		const result = forwarder.forward(next.value);
 		credit.spend(next.value.length);
-		if (end !== undefined) {
-			return end;
+		if (result !== undefined) {
+			return result;
 		}
 	}
 
@@ -57,45 +57,45 @@
 	return {type: 'stopped'};
 }
 
-/** The part of the answer that has been passed on, and with it the index of the next token. */
-class AnswerInProgress {
-	static create(reservation: Reservation, firstIndex: number, onTokens: (tokens: number) => void): AnswerInProgress {
-		return new AnswerInProgress(reservation, firstIndex, onTokens);
+/** Forwards a response to the entry and keeps the index of the next token. */
+class ResponseForwarder {
+	static create(reservation: Reservation, firstIndex: number, onTokens: (tokens: number) => void): ResponseForwarder {
+		return new ResponseForwarder(reservation, firstIndex, onTokens);
 	}
 
-	#count: number;
+	#nextIndex: number;
 	#usage: string | undefined;
 	readonly #reservation: Reservation;
 	readonly #onTokens: (tokens: number) => void;
 
 	private constructor(reservation: Reservation, firstIndex: number, onTokens: (tokens: number) => void) {
 		this.#reservation = reservation;
-		this.#count = firstIndex;
+		this.#nextIndex = firstIndex;
 		this.#onTokens = onTokens;
 	}
 
-	/** Passes one turn's events on as one chunk; gives the end of the stream once it is reached. */
-	take(events: readonly EngineEvent[]): RunEnd | undefined {
+	/** Forwards the events of one turn as one chunk; returns the result of the run once the stream has ended. */
+	forward(events: readonly EngineEvent[]): RunResult | undefined {
 		const tokens: string[] = [];
-		let end: RunEnd | undefined;
+		let end: RunResult | undefined;
 		for (const event of events) {
-			end ??= this.#sort(event, tokens);
+			end ??= this.#classify(event, tokens);
 		}
 
 		if (tokens.length > 0) {
-			toEntry(this.#reservation, {type: 'chunk', index: this.#count, events: tokens});
-			this.#count += tokens.length;
+			sendToEntry(this.#reservation, {type: 'chunk', index: this.#nextIndex, events: tokens});
+			this.#nextIndex += tokens.length;
 			this.#onTokens(tokens.length);
 		}
 
 		if (end?.type === 'whole') {
-			toEntry(this.#reservation, {type: 'end', count: this.#count, usage: this.#usage});
+			sendToEntry(this.#reservation, {type: 'end', count: this.#nextIndex, usage: this.#usage});
 		}
 
 		return end;
 	}
 
-	#sort(event: EngineEvent, tokens: string[]): RunEnd | undefined {
+	#classify(event: EngineEvent, tokens: string[]): RunResult | undefined {
 		switch (event.type) {
 			case 'token': {
 				tokens.push(event.data);
--- a/src/side/orders/model-reconciler.ts
+++ b/src/side/orders/model-reconciler.ts
@@ -9,10 +9,10 @@
 import {type PartLogger} from '../../telemetry/index.js';
 import {type OrderContent, type OrderSender} from './order-sender.js';
 
-/** Loads take minutes and assignments change a few times an hour: a slower round costs nothing. */
-const roundMilliseconds = 5000;
+/** Loads take minutes and assignments change a few times an hour, so a short interval is not needed. */
+const defaultReconcileIntervalMilliseconds = 5000;
 
-/** A model at a version, as it is loaded or wanted. */
+/** A loaded model with its version; an empty version if the engine does not report it. */
 type LoadedModel = {readonly name: string; readonly version: string};
 
 export type ModelReconcilerOptions = {
@@ -21,39 +21,39 @@
 	readonly membership: MembershipClient;
 	readonly weights: WeightStoreClient;
 	readonly control: Pick<EngineControl, 'models'>;
-	/** Becomes the endpoint's owner. It fails while the log is down, and is then asked again. */
+	/** Takes ownership of the endpoint. It fails while the log is down and is then retried. */
 	readonly openOrderSender: () => Promise<Pick<OrderSender, 'order'>>;
 	readonly logger: PartLogger;
-	/** Called when the engine serves other models than before. */
+	/** Called when the models that the engine serves have changed. */
 	readonly onModels: (models: readonly TargetName[]) => void;
-	readonly roundMilliseconds?: number;
+	readonly reconcileIntervalMilliseconds?: number;
 };
 
 /**
- * Brings one engine's models in line with the catalogue: what the assignment gives this endpoint is
- * fetched from the weight store, then loaded by an order. Only models with `replicas` above 0 are
- * placed; the others stay where the settings put them. Nothing is ever unloaded.
+ * Reconciles the models of one engine with the catalogue: models assigned to this endpoint are fetched
+ * from the weight store and then loaded by an order. Only models with `replicas` above 0 are assigned;
+ * the others stay where the settings put them. Models are never unloaded.
  */
 export class ModelReconciler implements AsyncDisposable {
 	static create(options: ModelReconcilerOptions): ModelReconciler {
-		const keeper = new ModelReconciler(options);
-		keeper.#done = spawn('model-keeper', () => keeper.#run());
-		return keeper;
+		const reconciler = new ModelReconciler(options);
+		reconciler.#done = spawn('model-keeper', () => reconciler.#run());
+		return reconciler;
 	}
 
 	readonly #options: ModelReconcilerOptions;
 	readonly #abort = new AbortController();
 	#assignment = createAssignment();
-	#known = '';
+	#reportedModels = '';
 	#superseded = false;
-	#desk: Pick<OrderSender, 'order'> | undefined;
+	#orderSender: Pick<OrderSender, 'order'> | undefined;
 	#done: Promise<void> = Promise.resolve();
 
 	private constructor(options: ModelReconcilerOptions) {
 		this.#options = options;
 	}
 
-	/** True once a later side owns the endpoint: this one gives no more orders. */
+	/** True once a later side owns the endpoint: this one sends no more orders. */
 	get isSuperseded(): boolean {
 		return this.#superseded;
 	}
@@ -65,70 +65,71 @@
 
 	* #run(): Body<void> {
 		while (!this.#abort.signal.aborted && !this.#superseded) {
-			yield * this.#round();
-			yield * sleep(this.#options.roundMilliseconds ?? roundMilliseconds);
+			yield * this.#reconcile();
+			yield * sleep(this.#options.reconcileIntervalMilliseconds ?? defaultReconcileIntervalMilliseconds);
 		}
 	}
 
-	/** One look and at most one load, so that every load is decided on what is known by then. */
-	* #round(): Body<void> {
+	/** One check and at most one load, so that every load is decided on the latest state. */
+	* #reconcile(): Body<void> {
 		try {
-			const loaded = yield * this.#loaded();
+			const loaded = yield * this.#readLoadedModels();
 			if (loaded === undefined) {
 				return;
 			}
 
-			const placed = this.#options.catalogue().models().filter(({replicas}) => replicas > 0);
-			if (placed.length === 0) {
+			const placedModels = this.#options.catalogue().models().filter(({replicas}) => replicas > 0);
+			if (placedModels.length === 0) {
 				return;
 			}
 
-			this.#desk ??= yield * wait(this.#options.openOrderSender());
+			this.#orderSender ??= yield * wait(this.#options.openOrderSender());
 			yield * this.#readMembership();
-			const missing = this.#wanted(placed).find(model => !isLoaded(loaded, model));
+			const missing = this.#assignedModels(placedModels).find(model => !isLoaded(loaded, model));
 			if (missing !== undefined) {
-				yield * this.#load(missing, this.#desk);
+				yield * this.#load(missing, this.#orderSender);
 			}
 		} catch (error) {
-			this.#options.logger.warn('Models can not be brought in line now.', {error: String(error)});
+			this.#options.logger.warn('The models could not be reconciled.', {error: String(error)});
 		}
 	}
 
-	* #loaded(): Body<readonly LoadedModel[] | undefined> {
+	* #readLoadedModels(): Body<readonly LoadedModel[] | undefined> {
 		const models = yield * wait(this.#options.control.models());
 		const loaded = models?.map(({id, version}) => ({name: id, version: version ?? ''}));
 		if (loaded !== undefined) {
-			this.#tell(loaded);
+			this.#reportModels(loaded);
 		}
 
 		return loaded;
 	}
 
-	#tell(loaded: readonly LoadedModel[]): void {
+	#reportModels(loaded: readonly LoadedModel[]): void {
 		const names = loaded.map(({name}) => name).toSorted();
 		const text = names.join(' ');
-		if (text !== this.#known) {
-			this.#known = text;
+		if (text !== this.#reportedModels) {
+			this.#reportedModels = text;
 			this.#options.onModels(names as TargetName[]);
 		}
 	}
 
 	* #readMembership(): Body<void> {
 		const members = yield * wait(this.#options.membership.list(this.#abort.signal));
-		this.#assignment = observeMembers(this.#assignment, members.flatMap(member => siteOf(member)), performance.now());
+		this.#assignment = observeMembers(this.#assignment, members.flatMap(member => engineMembersOf(member)), performance.now());
 	}
 
-	#wanted(models: readonly ModelEntry[]): readonly ModelEntry[] {
+	#assignedModels(models: readonly ModelEntry[]): readonly ModelEntry[] {
 		const demands = models.map(({name, replicas}) => ({name: name as TargetName, replicas}));
 		const assigned = modelsForEndpoint(this.#assignment, demands, this.#options.endpoint);
 		return models.filter(({name}) => assigned.includes(name as TargetName));
 	}
 
 	/**
-	 * The store paces fetches by refusing some; the next round asks again. The order goes out only
-	 * when the weights are there, so an engine never waits for them with a slot blocked.
+	 * The weight store limits the rate of fetches by refusing some; the next reconciliation retries. The
+	 * order is sent only after the weights have been fetched, so an engine never waits for them with a
+	 * slot blocked.
 	 */
-	* #load(model: ModelEntry, desk: Pick<OrderSender, 'order'>): Body<void> {
+	* #load(model: ModelEntry, orderSender: Pick<OrderSender, 'order'>): Body<void> {
 		const {weights, logger} = this.#options;
 		yield * wait(weights.fetch(model.name, model.version, this.#abort.signal));
 		const orders: readonly OrderContent[] = [
@@ -136,8 +137,8 @@
 			...model.adapters.map(adapter => ({order: 'load-adapter' as const, name: adapter, version: model.version})),
 		];
 		for (const order of orders) {
-			const outcome = yield * wait(desk.order(order));
-			logger.info('An order was given.', {...order, outcome: outcome.type});
+			const outcome = yield * wait(orderSender.order(order));
+			logger.info('An order was sent.', {...order, outcome: outcome.type});
 			if (outcome.type === 'superseded') {
 				this.#superseded = true;
 				return;
@@ -150,7 +151,7 @@
 	return loaded.some(({name, version}) => name === wanted.name && (version === '' || version === wanted.version));
 }
 
-function siteOf(member: Member): EngineMember[] {
+function engineMembersOf(member: Member): EngineMember[] {
 	if (member.role !== 'side' || member.endpoint === undefined) {
 		return [];
 	}
--- a/src/side/orders/order-sender.ts
+++ b/src/side/orders/order-sender.ts
@@ -3,14 +3,14 @@
 import {type LogClient} from '../../platform/index.js';
 import {createOwnership, decideOrder, foldOwnership, type Ownership, type OwnershipRecord} from '../../policy/ownership/index.js';
 
-/** An order without its fencing number, which the desk adds. */
+/** An order without its fencing number, which the sender adds. */
 export type OrderContent = Omit<EngineOrder, 'fence'>;
 
 export type OrderOutcome
 	= | {readonly type: 'taken'; readonly fence: number}
 	/** A later side owns the endpoint. */
 		| {readonly type: 'superseded'}
-	/** Not known to be in effect: the log or the endpoint did not answer. Asking again is harmless. */
+	/** The order may not be in effect: the log or the endpoint did not respond. Retrying is harmless. */
 		| {readonly type: 'failed'; readonly reason: string};
 
 export type OrderSenderSettings = {
@@ -18,26 +18,26 @@
 	readonly instance: string;
 	readonly endpoint: string;
 	readonly control: Pick<EngineControl, 'order' | 'models'>;
-	/** Whether the endpoint refuses an order with an old fencing number. */
+	/** Whether the endpoint rejects an order with an outdated fencing number. */
 	readonly endpointChecksFences: boolean;
-	/** Milliseconds of a clock that goes on while the process is paused. */
+	/** The time in milliseconds, of a clock that keeps running while the process is paused. */
 	readonly now?: () => number;
 };
 
 const retryMilliseconds = 100;
-const largestTries = 5;
+const maxTries = 5;
 
 export function orderStream(endpoint: string): string {
 	return `orders-${endpoint}`;
 }
 
-/** The only giver of orders to one endpoint, for as long as its side is the endpoint's owner. */
+/** Sends orders to one endpoint, as the only sender for as long as its side owns the endpoint. */
 export class OrderSender {
-	/** Becomes the owner, which supersedes every earlier side. Throws if the log can't be reached. */
+	/** Takes ownership of the endpoint, which supersedes every earlier side. Throws if the log can't be reached. */
 	static async create(settings: OrderSenderSettings): Promise<OrderSender> {
-		const desk = new OrderSender(settings);
-		await spawn('own-endpoint', () => desk.#own(), ignoreFailure);
-		return desk;
+		const sender = new OrderSender(settings);
+		await spawn('own-endpoint', () => sender.#takeOwnership(), ignoreFailure);
+		return sender;
 	}
 
 	readonly #settings: OrderSenderSettings;
@@ -50,7 +50,7 @@
 		this.#stream = orderStream(settings.endpoint);
 	}
 
-	/** Gives an order, once it is certain that this side still owns the endpoint. */
+	/** Sends an order once it is certain that this side still owns the endpoint. */
 	async order(content: OrderContent): Promise<OrderOutcome> {
 		return spawn('engine-order', () => this.#order(content));
 	}
@@ -59,8 +59,8 @@
 		return (this.#settings.now ?? Date.now)();
 	}
 
-	/** The record is appended until the log has it for certain; one that it has twice only raises the fence. */
-	* #own(): Body<void> {
+	/** Appends the ownership record until the log has confirmed it; a duplicate only raises the fencing number. */
+	* #takeOwnership(): Body<void> {
 		const record: OwnershipRecord = {type: 'owner', endpoint: this.#settings.endpoint, instance: this.#settings.instance};
 		for (let tries = 1; ; tries++) {
 			const result = yield * wait(this.#settings.log.append(this.#stream, record));
@@ -69,7 +69,7 @@
 				return;
 			}
 
-			if (tries === largestTries) {
+			if (tries === maxTries) {
 				throw new Error(`The ownership of ${this.#settings.endpoint} could not be written: ${result.reason}`);
 			}
 
@@ -79,8 +79,8 @@
 
 	* #order(content: OrderContent): Body<OrderOutcome> {
 		let reason = '';
-		for (let tries = 0; tries < largestTries; tries++) {
-			const permission = yield * this.#permission();
+		for (let tries = 0; tries < maxTries; tries++) {
+			const permission = yield * this.#checkOwnership();
 			if (permission.type !== 'send') {
 				return permission;
 			}
@@ -102,14 +102,14 @@
 	}
 
 	/**
-	 * Failure: this process was paused between its last reading and the order, and a replacement took
-	 * over meanwhile. Symptom: an old version is loaded over the new one. The stream is read again for
-	 * every order, and the reading counts for half a lease; a new owner waits a whole one.
+	 * Reads the ownership stream for every order; the result is valid for half a lease, and a new owner
+	 * waits for a full lease. Without this, a side that was paused between its last read and the order
+	 * could load an old model version over the one that its replacement has loaded meanwhile.
 	 */
-	* #permission(): Body<{type: 'send'; fence: number} | {type: 'superseded'} | {type: 'failed'; reason: string}> {
+	* #checkOwnership(): Body<{type: 'send'; fence: number} | {type: 'superseded'} | {type: 'failed'; reason: string}> {
 		let readAt: number | undefined;
 		let failures = 0;
-		while (failures < largestTries) {
+		while (failures < maxTries) {
 			const step = decideOrder(this.#ownership, {...this.#settings, ownedAt: this.#ownedAt, readAt}, this.#now());
 			switch (step.type) {
 				case 'send':
@@ -135,7 +135,7 @@
 			}
 		}
 
-		return {type: 'failed', reason: 'the log can not be read'};
+		return {type: 'failed', reason: 'the log could not be read'};
 	}
 
 	* #readToEnd(): Body<boolean> {
@@ -152,7 +152,7 @@
 		}
 	}
 
-	/** An endpoint that ignores fences may have taken a late order of an older owner after ours. */
+	/** An endpoint that ignores fencing numbers may have accepted a late order of an earlier owner after this one. */
 	* #isInEffect(content: OrderContent): Body<boolean> {
 		if (this.#settings.endpointChecksFences || content.order !== 'load-model') {
 			return true;
@@ -164,14 +164,14 @@
 }
 
 function reasonOf(result: OrderResult): string {
-	return result.type === 'failed' ? result.reason : 'the endpoint does not show the order in effect';
+	return result.type === 'failed' ? result.reason : 'the endpoint does not report the order as applied';
 }
 
-/** The rejection of `create` tells it. */
+/** The error is reported by the rejection of `create`. */
 function ignoreFailure(): void {
-	// Nothing else to do.
+	// Intentionally empty.
 }
 
-/** How long a new owner of an endpoint that ignores fences waits before its first order. */
+/** How long a new owner waits before its first order if the endpoint ignores fencing numbers. */
 
 export {ownershipLeaseMilliseconds as takeoverMilliseconds} from '../../policy/ownership/index.js';
--- a/src/side/work.ts
+++ b/src/side/request-executor.ts
@@ -7,77 +7,77 @@
 } from '../policy/scheduler/index.js';
 import {DecisionJournal, Metrics, ReasonCode} from '../telemetry/index.js';
 import {type MessageOf} from '../wire/index.js';
-import {CrashWatch} from './crash-watch.js';
+import {CrashDetector} from './crash-detector.js';
 import {type EntryLink} from './entry-link.js';
 import {runModel} from './model-run.js';
 import {
-	type Reservation, type RunEnd, type RunInput, type RunningPhase, toEntry,
+	type Reservation, type RunResult, type RunInput, type RunningPhase, sendToEntry,
 } from './reservation.js';
 import {runService} from './service-run.js';
 import {SideTelemetry} from './side-telemetry.js';
-import {SuspectGate, type SuspectGateOwner} from './suspect-gate.js';
+import {SuspectGate, type SuspectGateHandler} from './suspect-gate.js';
 
-/** Inputs of a running request that may wait: credit, cancel and body parts, all bounded by the entry. */
+/** Messages that may be queued for a running request: credit, cancel and body parts, all bounded by the entry. */
 const runInputCapacity = 1000;
-/** How often the scheduler hears of one stream's progress; slots are adapted over longer windows. */
-const reportMilliseconds = 20;
-/** How long an offered slot is kept for an entry that does not answer. */
-export const offerHoldMilliseconds = createSettings().offerTimeoutMilliseconds;
+/** How often the progress of one stream is reported to the scheduler; slots are adapted over longer windows. */
+const progressIntervalMilliseconds = 20;
+/** How long an offered slot is kept for an entry that does not respond. */
+export const defaultOfferTimeoutMilliseconds = createSettings().offerTimeoutMilliseconds;
 
-export type WorkOptions<State> = {
+export type RequestExecutorOptions<State> = {
 	readonly backend: Backend;
 	readonly scheduler: Scheduler<State>;
-	/** Metrics and decisions; a private one if left out. */
+	/** Metrics and decisions; by default a private instance. */
 	readonly telemetry?: SideTelemetry;
 	readonly instance: InstanceId;
 	readonly endpoint: EndpointId;
 	readonly quarantine?: {readonly ledger: QuarantineLedger; readonly isHealthy: () => Promise<boolean>};
-	/** Called when a run shows that the endpoint is gone, before its entry hears of it. */
-	readonly endpointDown: () => void;
+	/** Called when a run shows that the endpoint is down, before its entry is notified. */
+	readonly onEndpointDown: () => void;
 };
 
-/** The client of the endpoint, by its kind. */
+/** The client for the endpoint, by kind of endpoint. */
 export type Backend
 	= | {readonly type: 'engine'; readonly client: EngineClient}
 		| {readonly type: 'service'; readonly client: ServiceClient};
 
-/** What ran at a side and what became of it. */
-export type WorkCounts = Record<Outcome | 'refused' | 'tokens', number>;
+/** Runs by outcome, refused reservations and produced tokens of one side. */
+export type RunCounts = Record<Outcome | 'refused' | 'tokens', number>;
 
 /**
- * Everything that waits or runs at one endpoint. It holds the scheduler's state, applies every event
- * to it in the order of arrival and carries out the actions at once, so the queue, the slots and
- * what the engine runs never disagree.
+ * Executes the requests of one endpoint. It holds the scheduler's state, applies every event to it in
+ * order of arrival and executes the resulting actions at once, so that the queue, the slots and the
+ * requests that the engine runs are always consistent.
  */
-export class Work<State = unknown> implements SuspectGateOwner {
-	static create<State>(options: WorkOptions<State>): Work<State> {
-		return new Work(options);
+export class RequestExecutor<State = unknown> implements SuspectGateHandler {
+	static create<State>(options: RequestExecutorOptions<State>): RequestExecutor<State> {
+		return new RequestExecutor(options);
 	}
 
-	readonly counts: WorkCounts = {whole: 0, cancelled: 0, failed: 0, preempted: 0, refused: 0, tokens: 0};
-	readonly #options: WorkOptions<State>;
+	readonly counts: RunCounts = {whole: 0, cancelled: 0, failed: 0, preempted: 0, refused: 0, tokens: 0};
+	readonly #options: RequestExecutorOptions<State>;
 	readonly #reservations = new Map<string, Reservation>();
 	readonly #telemetry: SideTelemetry;
 	#state: State;
 	#onIdle: (() => void) | undefined;
 	readonly #gate: SuspectGate | undefined;
-	readonly #crashes: CrashWatch | undefined;
+	readonly #crashDetector: CrashDetector | undefined;
 
-	private constructor(options: WorkOptions<State>) {
+	private constructor(options: RequestExecutorOptions<State>) {
 		this.#options = options;
 		this.#state = options.scheduler.create();
 		this.#telemetry = options.telemetry ?? SideTelemetry.create(Metrics.create({role: 'side'}), DecisionJournal.create());
-		const {quarantine, endpointDown} = options;
+		const {quarantine, onEndpointDown} = options;
 		if (quarantine) {
 			this.#gate = SuspectGate.create(quarantine.ledger, this);
-			this.#crashes = CrashWatch.create({...options, ...quarantine, running: () => this.#runningFingerprints(), endpointDied: endpointDown});
+			this.#crashDetector = CrashDetector.create({...options, ...quarantine, runningFingerprints: () => this.#runningFingerprints(), onEndpointCrashed: onEndpointDown});
 			quarantine.ledger.listen(() => {
-				this.#gate?.review(this.#notBegun());
+				this.#gate?.reevaluate(this.#pendingReservations());
 			});
 		}
 	}
 
-	/** True while nothing waits, is on offer or runs: time then changes nothing. */
+	/** True while no request is queued, offered or running: the passing of time then has no effect. */
 	get isEmpty(): boolean {
 		return this.#reservations.size === 0;
 	}
@@ -86,7 +86,7 @@
 		return this.#options.scheduler.view(this.#state);
 	}
 
-	/** Puts a request into the queue; a message that contradicts an earlier one closes the connection. */
+	/** Adds a request to the queue; a message that contradicts an earlier one closes the connection. */
 	reserve(link: EntryLink, message: MessageOf<'reserve'>): void {
 		if (link.reservations.has(message.stream) || message.request !== message.summary.id) {
 			link.connection.close('a reservation that contradicts an earlier message');
@@ -122,11 +122,11 @@
 		const {kind, message} = createFailure(FailureKind.quarantined, 'Endpoints that ran this request crashed; it is not run again for some minutes.');
 		this.counts.refused += 1;
 		this.#telemetry.refused(reservation, kind, message);
-		this.#leave(reservation);
-		toEntry(reservation, {type: 'refuse', kind, message});
+		this.#removeQueued(reservation);
+		sendToEntry(reservation, {type: 'refuse', kind, message});
 	}
 
-	/** The entry gives a reservation back; one that runs is cancelled if that is harmless. */
+	/** Withdraws a reservation for its entry; a running one is cancelled if that is harmless. */
 	withdraw(link: EntryLink, stream: number): void {
 		const reservation = link.reservations.get(stream);
 		if (reservation === undefined) {
@@ -138,18 +138,18 @@
 			return;
 		}
 
-		this.#leave(reservation);
+		this.#removeQueued(reservation);
 	}
 
 	/**
-	 * A body in answer to an offer. One that comes after the offer lapsed, or for a stream that is
-	 * not known here, is answered with `not-run`, which is certain: nothing is passed to the engine.
+	 * Runs a request whose body arrived in response to an offer. If the offer has timed out or the stream
+	 * is unknown, the request fails with the verdict `not-run`: nothing was sent to the engine.
 	 */
 	start(link: EntryLink, message: MessageOf<'start'>): void {
 		const reservation = link.reservations.get(message.stream);
 		if (reservation?.phase.type !== 'offered' || reservation.summary.id !== message.request) {
-			const lapsed = createFailure(FailureKind.queueTimeout, 'The offered slot has lapsed.');
-			link.send({type: 'fail', stream: message.stream, request: message.request, ...lapsed});
+			const timedOut = createFailure(FailureKind.queueTimeout, 'The offered slot has timed out.');
+			link.send({type: 'fail', stream: message.stream, request: message.request, ...timedOut});
 			return;
 		}
 
@@ -159,20 +159,20 @@
 		reservation.phase = phase;
 		reservation.progressedAt = performance.now();
 		this.apply({type: 'started', id: reservation.id});
-		// Failure: the scheduler has taken the slot back and refuses in this very step. Symptom: the
-		// entry hears not-run and the endpoint runs it all the same. Only what is still held is run.
+		// The scheduler may have withdrawn the slot and refused the request in this very step. The request must then
+		// not run, since the entry has received `refuse`, which means `not-run`. Only a request that is still reserved is run.
 		if (!this.#reservations.has(reservation.id)) {
 			return;
 		}
 
 		void spawn('run', () => this.#run(reservation, phase, message)).then(async end => {
-			await this.#lookAtEndpoint(end);
+			await this.#checkEndpoint(end);
 			this.#finished(reservation, end);
 		});
 	}
 
-	/** Credit, a part of the body, or a cancellation, for a request that runs. */
-	input(link: EntryLink, message: RunInput): void {
+	/** Handles credit, a part of the body or a cancellation for a running request. */
+	forwardInput(link: EntryLink, message: RunInput): void {
 		const reservation = link.reservations.get(message.stream);
 		if (reservation?.phase.type !== 'running' || reservation.summary.id !== message.request) {
 			return;
@@ -188,7 +188,7 @@
 		}
 	}
 
-	/** Tells the scheduler what happened and carries out what it decides. */
+	/** Passes an event to the scheduler and executes the resulting actions. */
 	apply(event: SchedulerEvent): void {
 		const {state, actions} = this.#options.scheduler.step(this.#state, event, performance.now());
 		this.#state = state;
@@ -197,11 +197,11 @@
 		}
 
 		if (event.type === 'leaving' || (event.type === 'endpoint' && !event.up)) {
-			this.#gate?.open();
+			this.#gate?.admitAll();
 		}
 	}
 
-	/** Resolves once nothing runs and no slot is on offer. */
+	/** Resolves once no request is running and no slot is offered. */
 	async idle(): Promise<void> {
 		if (this.#countBusy() === 0) {
 			return;
@@ -212,7 +212,7 @@
 		});
 	}
 
-	#run(reservation: Reservation, phase: RunningPhase, start: MessageOf<'start'>): Body<RunEnd> {
+	#run(reservation: Reservation, phase: RunningPhase, start: MessageOf<'start'>): Body<RunResult> {
 		const {backend} = this.#options;
 		switch (backend.type) {
 			case 'engine': {
@@ -229,10 +229,10 @@
 		}
 	}
 
-	/** Takes a reservation that has not begun out of the queue. */
-	#leave(reservation: Reservation): void {
-		const queued = !this.#gate?.holds(reservation);
-		this.#forget(reservation);
+	/** Removes a reservation that is not running from the queue. */
+	#removeQueued(reservation: Reservation): void {
+		const queued = !this.#gate?.isWaiting(reservation);
+		this.#remove(reservation);
 		if (queued) {
 			this.apply({type: 'withdrawn', id: reservation.id});
 		}
@@ -242,30 +242,30 @@
 		return [...this.#reservations.values()].filter(({phase}) => phase.type === 'running').map(({summary}) => summary.fingerprint);
 	}
 
-	/** What is in the queue or on offer; a suspect that waits at the gate is not. */
-	#notBegun(): Reservation[] {
-		return [...this.#reservations.values()].filter(reservation => reservation.phase.type !== 'running' && !this.#gate?.holds(reservation));
+	/** Reservations that are queued or offered, without suspects that wait at the gate. */
+	#pendingReservations(): Reservation[] {
+		return [...this.#reservations.values()].filter(reservation => reservation.phase.type !== 'running' && !this.#gate?.isWaiting(reservation));
 	}
 
-	/** A run that ended by a lost endpoint says more than the next check of its health, and sooner. */
-	async #lookAtEndpoint(end: RunEnd): Promise<void> {
+	/** Handles a run that failed because the endpoint was lost: this shows a failure earlier and more reliably than the next health check. */
+	async #checkEndpoint(end: RunResult): Promise<void> {
 		if (end.type !== 'failed') {
 			return;
 		}
 
 		if (end.failure.kind === FailureKind.endpointLost) {
-			await this.#crashes?.connectionBroke();
+			await this.#crashDetector?.connectionBroke();
 		} else if (end.failure.kind === FailureKind.noEndpoint) {
-			this.#options.endpointDown();
+			this.#options.onEndpointDown();
 		}
 	}
 
-	/** The scheduler hears of the first tokens at once, then in portions: it copies its state on each event. */
+	/** Reports the first tokens to the scheduler at once and later ones in batches, since the scheduler copies its state on each event. */
 	#progressed(reservation: Reservation, tokens: number): void {
 		const now = performance.now();
 		this.counts.tokens += tokens;
 		reservation.unreportedTokens += tokens;
-		if (!reservation.hasProgressed || now - reservation.progressedAt >= reportMilliseconds) {
+		if (!reservation.hasProgressed || now - reservation.progressedAt >= progressIntervalMilliseconds) {
 			this.#reportProgress(reservation, now);
 		}
 	}
@@ -283,22 +283,22 @@
 		this.apply({type: 'progressed', id, tokens: unreportedTokens, milliseconds: now - progressedAt});
 	}
 
-	#finished(reservation: Reservation, end: RunEnd): void {
+	#finished(reservation: Reservation, end: RunResult): void {
 		this.#reportProgress(reservation, performance.now());
 		const outcome = outcomeOf(reservation, end);
 		this.counts[outcome] += 1;
 		this.#telemetry.ended(reservation, outcome, end.type === 'failed' ? end.failure.kind : outcome);
-		this.#forget(reservation, outcome === 'whole');
+		this.#remove(reservation, outcome === 'whole');
 		if (end.type === 'failed') {
-			toEntry(reservation, {type: 'fail', ...end.failure});
+			sendToEntry(reservation, {type: 'fail', ...end.failure});
 		}
 
 		this.apply({type: 'finished', id: reservation.id, outcome});
 	}
 
 	/**
-	 * Stops what the endpoint does for a request. A non-idempotent one is never stopped: it ends by
-	 * itself. The exception is one whose body will never be complete, which would wait for ever.
+	 * Stops the run of a request. A non-idempotent request is never stopped but runs to its end, unless
+	 * its body is incomplete: then it would wait forever.
 	 */
 	#stopRun(reservation: Reservation, why: 'cancelled' | 'preempted'): void {
 		if (reservation.phase.type !== 'running' || !(reservation.summary.idempotent || reservation.phase.isBodyOpen)) {
@@ -320,15 +320,15 @@
 			case 'offer': {
 				reservation.phase = {type: 'offered'};
 				this.#telemetry.offered(reservation, performance.now() - reservation.arrivedAt);
-				toEntry(reservation, {type: 'offer', holdMilliseconds: offerHoldMilliseconds});
+				sendToEntry(reservation, {type: 'offer', holdMilliseconds: defaultOfferTimeoutMilliseconds});
 				break;
 			}
 
 			case 'refuse': {
 				this.counts.refused += 1;
 				this.#telemetry.refused(reservation, action.kind, action.message);
-				this.#forget(reservation);
-				toEntry(reservation, {
+				this.#remove(reservation);
+				sendToEntry(reservation, {
 					type: 'refuse', kind: action.kind, message: action.message, retryAfterMilliseconds: action.retryAfterMilliseconds,
 				});
 				break;
@@ -337,16 +337,16 @@
 			case 'preempt': {
 				this.#telemetry.preempted(reservation, action.forRequest);
 				this.#stopRun(reservation, 'preempted');
-				toEntry(reservation, {type: 'fail', ...createFailure(FailureKind.preempted, 'A higher tier needed the slot.', {verdict: Verdict.mayHaveRun})});
+				sendToEntry(reservation, {type: 'fail', ...createFailure(FailureKind.preempted, 'A higher tier needed the slot.', {verdict: Verdict.mayHaveRun})});
 				break;
 			}
 		}
 	}
 
-	#forget(reservation: Reservation, ranWhole = false): void {
+	#remove(reservation: Reservation, ranToCompletion = false): void {
 		this.#reservations.delete(reservation.id);
 		reservation.link.reservations.delete(reservation.stream);
-		this.#gate?.left(reservation, ranWhole);
+		this.#gate?.removed(reservation, ranToCompletion);
 		if (this.#countBusy() === 0) {
 			this.#onIdle?.();
 		}
@@ -357,7 +357,7 @@
 	}
 }
 
-function outcomeOf(reservation: Reservation, end: RunEnd): Outcome {
+function outcomeOf(reservation: Reservation, end: RunResult): Outcome {
 	switch (end.type) {
 		case 'whole': {
 			return 'whole';
--- a/src/side/reservation.ts
+++ b/src/side/reservation.ts
@@ -3,10 +3,10 @@
 import {type Message, type MessageOf} from '../wire/index.js';
 import {type EntryLink} from './entry-link.js';
 
-/** What a running request hears from its entry. */
+/** A message from the entry for a running request. */
 export type RunInput = MessageOf<'body'> | MessageOf<'credit'> | MessageOf<'cancel'>;
 
-/** Where a reservation stands. It only moves down this list, and leaves the side from any line. */
+/** The state of a reservation. It only advances down this list, and may end in any state. */
 export type ReservationPhase
 	= | {readonly type: 'waiting'}
 		| {readonly type: 'offered'}
@@ -14,19 +14,19 @@
 			readonly type: 'running';
 			readonly input: Channel<RunInput>;
 			readonly abort: AbortController;
-			/** True while parts of the body are still to come. */
+			/** True while parts of the body are still expected. */
 			isBodyOpen: boolean;
 			stopped?: 'cancelled' | 'preempted';
 		};
 export type RunningPhase = Extract<ReservationPhase, {type: 'running'}>;
 
-/** How a run at the endpoint ended. */
-export type RunEnd
+/** How a run at the endpoint ended; `whole` means that the response is complete. */
+export type RunResult
 	= | {readonly type: 'whole'}
 		| {readonly type: 'stopped'}
 		| {readonly type: 'failed'; readonly failure: Failure};
 
-/** One request at this side, from `reserve` until it was refused, withdrawn or finished. */
+/** One request at this side, from `reserve` until it is refused, withdrawn or finished. */
 export type Reservation = {
 	readonly id: string;
 	readonly link: EntryLink;
@@ -34,18 +34,18 @@
 	readonly summary: RequestSummary;
 	phase: ReservationPhase;
 	readonly arrivedAt: number;
-	/** When the scheduler last heard of tokens, for the time between tokens. */
+	/** When tokens were last reported to the scheduler, for the time between tokens. */
 	progressedAt: number;
-	/** Tokens since then. */
+	/** Tokens since `progressedAt`. */
 	unreportedTokens: number;
 	/** True once the first token has been reported. */
 	hasProgressed: boolean;
 };
 
-/** A message to the entry, without the stream and request that `toEntry` adds. */
-type Unaddressed<Kind extends Message> = Kind extends {stream: number} ? Omit<Kind, 'stream' | 'request'> : never;
+/** A message to the entry without `stream` and `request`, which `sendToEntry` adds. */
+type MessageContent<Kind extends Message> = Kind extends {stream: number} ? Omit<Kind, 'stream' | 'request'> : never;
 
-/** Sends a message about a reservation, with the two numbers that both ends check. */
-export function toEntry(reservation: Reservation, message: Unaddressed<Message>): void {
+/** Sends a message about a reservation, with the stream number and the request id that both ends check. */
+export function sendToEntry(reservation: Reservation, message: MessageContent<Message>): void {
 	reservation.link.send({...message, stream: reservation.stream, request: reservation.summary.id});
 }
--- a/src/side/service-run.ts
+++ b/src/side/service-run.ts
@@ -6,12 +6,12 @@
 import {maximumPartBytes, type MessageOf} from '../wire/index.js';
 import {BodyParts} from './body-parts.js';
 import {CreditWindow} from './credit-window.js';
-import {type Reservation, type RunEnd, type RunInput, type RunningPhase, toEntry} from './reservation.js';
+import {type Reservation, type RunResult, type RunInput, type RunningPhase, sendToEntry} from './reservation.js';
 
-/** Credits and a cancellation that may wait for the run; the entry's window bounds them. */
+/** Credits and a cancellation that may be queued for the run; the entry's window bounds them. */
 const controlCapacity = 1000;
 
-/** One call of a plain service that is to run here. */
+/** One call of a plain service to run at this endpoint. */
 export type ServiceRun = {
 	readonly service: ServiceClient;
 	readonly reservation: Reservation;
@@ -20,22 +20,22 @@
 };
 
 /**
- * Passes a call to the service and its answer to the entry, bodies in parts both ways, each way
- * within a window. The entry hears `end` only after the service's body ended cleanly.
+ * Forwards a call to the service and its response to the entry; bodies are sent in parts, within a
+ * flow-control window in each direction. `end` is sent to the entry only after the body is complete.
  */
-export function * runService(run: ServiceRun): Body<RunEnd> {
+export function * runService(run: ServiceRun): Body<RunResult> {
 	const {service, reservation, phase, start} = run;
 	const parts = BodyParts.create(taken => {
-		toEntry(reservation, {type: 'credit', events: taken});
+		sendToEntry(reservation, {type: 'credit', events: taken});
 	});
 	if (start.more) {
 		parts.push(start.body);
 	}
 
 	const control = channel<RunInput>(controlCapacity);
-	void spawn('service-input', () => sortInput(phase, parts, control));
+	void spawn('service-input', () => dispatchInput(phase, parts, control));
 	try {
-		const answer = yield * wait(service.call({
+		const response = yield * wait(service.call({
 			requestId: reservation.summary.id,
 			method: start.method,
 			path: start.path,
@@ -48,20 +48,20 @@
 			return {type: 'stopped'};
 		}
 
-		if (answer.type === 'failed') {
-			return answer;
+		if (response.type === 'failed') {
+			return response;
 		}
 
-		toEntry(reservation, {type: 'head', status: answer.status, headers: answer.headers});
-		return yield * passAnswer(run, answer.body, CreditWindow.create(start.credit, control));
+		sendToEntry(reservation, {type: 'head', status: response.status, headers: response.headers});
+		return yield * forwardResponse(run, response.body, CreditWindow.create(start.credit, control));
 	} finally {
-		// Ends the input's process; the channel stays open, since a late credit is no fault of the entry.
+		// Ends the process that dispatches the input. The channel stays open, since credit may still arrive and is not an error of the entry.
 		tryDeliver(phase.input, {type: 'cancel', stream: reservation.stream, request: reservation.summary.id});
 	}
 }
 
-/** Sends body parts one way and everything else the other, until the run is cancelled or over. */
-function * sortInput(phase: RunningPhase, parts: BodyParts, control: Channel<RunInput>): Body<void> {
+/** Sends body parts to `parts` and all other messages to `control`, until the run is cancelled or over. */
+function * dispatchInput(phase: RunningPhase, parts: BodyParts, control: Channel<RunInput>): Body<void> {
 	for (;;) {
 		const message = yield * receive(phase.input);
 		if (message?.type === 'body') {
@@ -85,7 +85,7 @@
 	}
 }
 
-function * passAnswer({reservation, phase}: ServiceRun, body: AsyncGenerator<Uint8Array>, credit: CreditWindow): Body<RunEnd> {
+function * forwardResponse({reservation, phase}: ServiceRun, body: AsyncGenerator<Uint8Array>, credit: CreditWindow): Body<RunResult> {
 	let count = 0;
 	while (yield * credit.hasCredit()) {
 		const next = yield * wait(nextPart(body));
@@ -98,12 +98,12 @@
 		}
 
 		if (next.type === 'end') {
-			toEntry(reservation, {type: 'end', count});
+			sendToEntry(reservation, {type: 'end', count});
 			return {type: 'whole'};
 		}
 
 		for (const bytes of split(next.bytes)) {
-			toEntry(reservation, {type: 'data', index: count, bytes});
+			sendToEntry(reservation, {type: 'data', index: count, bytes});
 			credit.spend(1);
 			count += 1;
 		}
@@ -113,17 +113,17 @@
 	return {type: 'stopped'};
 }
 
-type Part
+type PartResult
 	= | {readonly type: 'part'; readonly bytes: Uint8Array}
 		| {readonly type: 'end'}
 		| {readonly type: 'failed'; readonly failure: Failure};
 
-async function nextPart(body: AsyncGenerator<Uint8Array>): Promise<Part> {
+async function nextPart(body: AsyncGenerator<Uint8Array>): Promise<PartResult> {
 	try {
 		const next = await body.next();
 		return next.done ? {type: 'end'} : {type: 'part', bytes: next.value};
 	} catch (error) {
-		return {type: 'failed', failure: error instanceof RequestError ? error.failure : createFailure(FailureKind.endpointLost, 'The answer broke off.', {verdict: Verdict.mayHaveRun})};
+		return {type: 'failed', failure: error instanceof RequestError ? error.failure : createFailure(FailureKind.endpointLost, 'The response was incomplete.', {verdict: Verdict.mayHaveRun})};
 	}
 }
 
--- a/src/side/side-telemetry.ts
+++ b/src/side/side-telemetry.ts
@@ -4,7 +4,7 @@
 } from '../telemetry/index.js';
 import {type Reservation} from './reservation.js';
 
-/** What a side tells of its queue and its runs: a reason for each decision, and figures per tier. */
+/** Records what happens in a side's queue and runs: a reason for each decision, and metrics per tier. */
 export class SideTelemetry {
 	static create(metrics: Metrics, journal: DecisionJournal): SideTelemetry {
 		return new SideTelemetry(metrics, journal);
--- a/src/side/side.ts
+++ b/src/side/side.ts
@@ -8,18 +8,19 @@
 	type Connection, Listener, type Message, protocolVersion, type Security,
 } from '../wire/index.js';
 import {type EndpointObserver} from './endpoint-watch.js';
-import {EntryLink, type EntryLinkOwner} from './entry-link.js';
+import {EntryLink, type EntryLinkHandler} from './entry-link.js';
 import {type SideTelemetry} from './side-telemetry.js';
-import {type Backend, Work, type WorkCounts} from './work.js';
+import {type Backend, RequestExecutor, type RunCounts} from './request-executor.js';
 
 const tickMilliseconds = 50;
-/** How often it looks which heartbeats are due. */
+/** How often the side checks which heartbeats are due. */
 const heartbeatTickMilliseconds = 500;
 /**
- * How often an entry with requests here hears the load. Late binding decides by offers, so the
- * report may lag; at 90 entries a side a shorter interval would break the control budget.
+ * How often the load is reported to entries with requests at this side. Requests are bound to
+ * slots late, by offers, so the report may lag; with 90 entries per side, a shorter interval would exceed
+ * the budget for control traffic.
  */
-const stateMilliseconds = 500;
+const loadIntervalMilliseconds = 500;
 
 export type SideOptions<State> = {
 	readonly instance: InstanceId;
@@ -32,17 +33,17 @@
 	readonly backend: Backend;
 	readonly scheduler: Scheduler<State>;
 	readonly logger: PartLogger;
-	/** Metrics and decisions; a private one if left out. */
+	/** Metrics and decisions; by default a private instance. */
 	readonly telemetry?: SideTelemetry;
 	readonly catalogueOffset: () => number;
-	/** Hears hello, heartbeat, pull and records of each entry, for the spread of the catalogue. */
+	/** Receives `hello`, `heartbeat`, `pull` and `records` of each entry, by which the catalogue is replicated. */
 	readonly onPeerMessage?: (message: CatalogueMessage, reply: (message: Message) => void) => void;
-	/** What is known of requests that crash endpoints, and how to ask whether this one is alive. */
+	/** The records of requests that crash endpoints, and the health check of this endpoint. */
 	readonly quarantine?: {readonly ledger: QuarantineLedger; readonly isHealthy: () => Promise<boolean>};
 };
 
-/** The process beside one endpoint: takes entries' connections and tells them how the endpoint stands. */
-export class Side<State = unknown> implements AsyncDisposable, EntryLinkOwner, EndpointObserver {
+/** The side (the sidecar process of one endpoint): accepts the connections of entries and reports the endpoint's state to them. */
+export class Side<State = unknown> implements AsyncDisposable, EntryLinkHandler, EndpointObserver {
 	static async create<State>(options: SideOptions<State>): Promise<Side<State>> {
 		const side = new Side(options);
 		side.#listener = await Listener.create({
@@ -53,7 +54,7 @@
 				side.#accept(connection);
 			},
 			onRefused(reason) {
-				options.logger.warn('A peer was refused.', {reason});
+				options.logger.warn('A connection was rejected.', {reason});
 			},
 		});
 		side.#startTimers();
@@ -61,12 +62,12 @@
 	}
 
 	readonly #options: SideOptions<State>;
-	readonly #work: Work<State>;
+	readonly #executor: RequestExecutor<State>;
 	readonly #links = new Set<EntryLink>();
 	readonly #timers: NodeJS.Timeout[] = [];
 	#listener!: Listener;
 	#nextLink = 0;
-	#leaving = false;
+	#isDraining = false;
 	#endpointUp = true;
 	#targets: readonly TargetName[];
 	#lastState = '';
@@ -74,9 +75,9 @@
 	private constructor(options: SideOptions<State>) {
 		this.#options = options;
 		this.#targets = options.targets;
-		this.#work = Work.create({
+		this.#executor = RequestExecutor.create({
 			...options,
-			endpointDown: () => {
+			onEndpointDown: () => {
 				this.setEndpointUp(false);
 			},
 		});
@@ -91,23 +92,23 @@
 		return this.#listener.address;
 	}
 
-	/** What ran here and what became of it, for metrics and for tests. */
-	get counts(): Readonly<WorkCounts> {
-		return this.#work.counts;
+	/** The number of runs at this side by outcome, for metrics and tests. */
+	get counts(): Readonly<RunCounts> {
+		return this.#executor.counts;
 	}
 
 	get phase(): 'serving' | 'leaving' | 'down' {
-		if (this.#leaving) {
+		if (this.#isDraining) {
 			return 'leaving';
 		}
 
 		return this.#endpointUp ? 'serving' : 'down';
 	}
 
-	/** Figures for `status`. */
+	/** Values for `status`. */
 	status(): Omit<StatusAnswer, 'instance' | 'role'> {
 		const {endpoint, zone, catalogueOffset, quarantine} = this.#options;
-		const {slots, running, waiting} = this.#work.view;
+		const {slots, running, waiting} = this.#executor.view;
 		return {
 			zone,
 			phase: this.phase,
@@ -122,15 +123,15 @@
 		};
 	}
 
-	/** Takes no new work from now on, and resolves once what runs has ended. */
+	/** Refuses new requests from now on, and resolves once all runs have ended. */
 	async drain(): Promise<void> {
-		this.#leaving = true;
-		this.#work.apply({type: 'leaving'});
+		this.#isDraining = true;
+		this.#executor.apply({type: 'leaving'});
 		this.#publishState();
-		await this.#work.idle();
+		await this.#executor.idle();
 	}
 
-	/** Closes at once; `drain` first for a stop that cuts nothing. */
+	/** Closes all connections at once; call `drain` first for a graceful shutdown. */
 	async [Symbol.asyncDispose](): Promise<void> {
 		for (const timer of this.#timers) {
 			clearInterval(timer);
@@ -143,24 +144,24 @@
 	handle(link: EntryLink, message: Message): void {
 		switch (message.type) {
 			case 'reserve': {
-				this.#work.reserve(link, message);
+				this.#executor.reserve(link, message);
 				break;
 			}
 
 			case 'withdraw': {
-				this.#work.withdraw(link, message.stream);
+				this.#executor.withdraw(link, message.stream);
 				break;
 			}
 
 			case 'start': {
-				this.#work.start(link, message);
+				this.#executor.start(link, message);
 				break;
 			}
 
 			case 'cancel':
 			case 'credit':
 			case 'body': {
-				this.#work.input(link, message);
+				this.#executor.forwardInput(link, message);
 				break;
 			}
 
@@ -202,36 +203,36 @@
 		}
 	}
 
-	/** An entry is gone: what it had waiting leaves the queue, and what ran for it is cancelled if that is harmless. */
+	/** An entry has disconnected: its queued requests are withdrawn, and its running ones are cancelled if that is harmless. */
 	linkClosed(link: EntryLink): void {
 		this.#links.delete(link);
 		this.#options.logger.info('A connection from an entry ended.', {entry: link.instance, address: link.connection.peer, reason: link.connection.closeReason});
 		for (const stream of link.reservations.keys()) {
-			this.#work.withdraw(link, stream);
+			this.#executor.withdraw(link, stream);
 		}
 	}
 
-	/** Tells the scheduler and the entries whether the endpoint answers. */
+	/** Reports to the scheduler and the entries whether the endpoint is reachable. */
 	setEndpointUp(up: boolean): void {
 		if (up === this.#endpointUp) {
 			return;
 		}
 
 		this.#endpointUp = up;
-		this.#options.logger.info(up ? 'The endpoint answers again.' : 'The endpoint does not answer.', {endpoint: this.#options.endpoint});
-		this.#work.apply({type: 'endpoint', up});
+		this.#options.logger.info(up ? 'The endpoint is reachable again.' : 'The endpoint is unreachable.', {endpoint: this.#options.endpoint});
+		this.#executor.apply({type: 'endpoint', up});
 		this.#publishState();
 	}
 
-	/** The endpoint serves other models now: every entry is told by a new `hello`. */
+	/** Sets the models that the endpoint serves, and announces them to every entry by a new `hello`. */
 	setTargets(targets: readonly TargetName[]): void {
 		this.#targets = targets;
 		this.#broadcast(this.#hello());
 	}
 
-	/** The engine's own, lagging report: the scheduler uses it for memory pressure alone. */
+	/** The engine's own report, which lags; the scheduler uses it only for memory pressure. */
 	loadReported(load: EngineLoad): void {
-		this.#work.apply({type: 'reported', memoryUsed: load.memoryUsed, running: load.running});
+		this.#executor.apply({type: 'reported', memoryUsed: load.memoryUsed, running: load.running});
 	}
 
 	#accept(connection: Connection): void {
@@ -240,9 +241,9 @@
 		this.#links.add(link);
 		link.send(this.#hello());
 		link.send(this.#stateMessage());
-		const known = this.#options.quarantine?.ledger.records() ?? [];
-		if (known.length > 0) {
-			link.send({type: 'quarantine', records: [...known]});
+		const records = this.#options.quarantine?.ledger.records() ?? [];
+		if (records.length > 0) {
+			link.send({type: 'quarantine', records: [...records]});
 		}
 
 		void spawn('entry-link', () => link.read(this));
@@ -257,20 +258,20 @@
 
 	#startTimers(): void {
 		const tick = setInterval(() => {
-			if (!this.#work.isEmpty) {
-				this.#work.apply({type: 'tick'});
+			if (!this.#executor.isEmpty) {
+				this.#executor.apply({type: 'tick'});
 			}
 		}, tickMilliseconds);
 		const state = setInterval(() => {
 			this.#publishLoad();
-		}, stateMilliseconds);
+		}, loadIntervalMilliseconds);
 		const heartbeat = setInterval(() => {
-			this.#beat();
+			this.#sendHeartbeats();
 		}, heartbeatTickMilliseconds);
 		this.#timers.push(tick, state, heartbeat);
 	}
 
-	#beat(): void {
+	#sendHeartbeats(): void {
 		const catalogueOffset = this.#options.catalogueOffset();
 		for (const link of this.#links) {
 			link.connection.setBusy(link.reservations.size > 0);
@@ -287,18 +288,18 @@
 	}
 
 	#stateMessage(): Message {
-		const {slots, running, firm, waiting, tokenMilliseconds} = this.#work.view;
+		const {slots, running, firm, waiting, tokenMilliseconds} = this.#executor.view;
 		return {
 			type: 'state', phase: this.phase, slots, running, firm: firm === undefined ? undefined : [...firm], waiting: [...waiting], tokenMilliseconds: Math.round(tokenMilliseconds),
 		};
 	}
 
-	/** A change of phase goes to every entry at once. */
+	/** Broadcasts a change of phase to every entry at once. */
 	#publishState(): void {
 		this.#broadcast(this.#stateMessage());
 	}
 
-	/** The load goes to the entries that have requests here, and only if it changed. */
+	/** Sends the load to the entries that have requests at this side, and only if it changed. */
 	#publishLoad(): void {
 		const message = this.#stateMessage();
 		const text = JSON.stringify(message);
--- a/src/side/suspect-gate.ts
+++ b/src/side/suspect-gate.ts
@@ -2,90 +2,90 @@
 import {createClearedRecord, Suspicion, type FingerprintStatus} from '../policy/quarantine/index.js';
 import {type Reservation} from './reservation.js';
 
-/** What the gate asks of its side. */
-export type SuspectGateOwner = {
+/** Executes the decisions of the gate. */
+export type SuspectGateHandler = {
 	/** Puts the reservation into the queue. */
 	admit(reservation: Reservation): void;
-	/** Refuses a reservation whose body has not been passed to the endpoint. */
+	/** Refuses a reservation whose body has not been sent to the endpoint. */
 	refuseQuarantined(reservation: Reservation): void;
 };
 
 /**
- * Lets one suspect at a time into the queue. All entries send a suspect to the same side, so that
- * one endpoint at a time is risked for it across the fleet; and if that one dies with a single
- * suspect running, no other suspect is accused with it.
+ * Admits one suspect at a time to the queue; a suspect is a request that ran at an endpoint when it crashed.
+ * All entries send the same suspect to the same side, so that across the fleet it can crash only one endpoint
+ * at a time. And if an endpoint crashes with a single suspect running, no other suspect is blamed for it.
  */
 export class SuspectGate {
-	static create(ledger: QuarantineLedger, owner: SuspectGateOwner): SuspectGate {
-		return new SuspectGate(ledger, owner);
+	static create(ledger: QuarantineLedger, handler: SuspectGateHandler): SuspectGate {
+		return new SuspectGate(ledger, handler);
 	}
 
 	readonly #ledger: QuarantineLedger;
-	readonly #owner: SuspectGateOwner;
-	/** The suspect that is in the queue or runs, and what was held against it when it came in. */
-	#current: {readonly reservation: Reservation; readonly judgement: FingerprintStatus} | undefined;
+	readonly #handler: SuspectGateHandler;
+	/** The suspect that is queued or running, and the status of its fingerprint when it was admitted. */
+	#current: {readonly reservation: Reservation; readonly status: FingerprintStatus} | undefined;
 	#waiting: Reservation[] = [];
 
-	private constructor(ledger: QuarantineLedger, owner: SuspectGateOwner) {
+	private constructor(ledger: QuarantineLedger, handler: SuspectGateHandler) {
 		this.#ledger = ledger;
-		this.#owner = owner;
+		this.#handler = handler;
 	}
 
-	/** Decides about a reservation that has come: into the queue, to wait for its turn, or refused. */
+	/** Decides on a new reservation: it is admitted to the queue, waits for its turn, or is refused. */
 	arrived(reservation: Reservation): void {
-		const judgement = this.#ledger.judge(reservation.summary.fingerprint);
-		switch (judgement.suspicion) {
+		const status = this.#ledger.judge(reservation.summary.fingerprint);
+		switch (status.suspicion) {
 			case Suspicion.none: {
-				this.#owner.admit(reservation);
+				this.#handler.admit(reservation);
 				return;
 			}
 
 			case Suspicion.quarantined: {
-				this.#owner.refuseQuarantined(reservation);
+				this.#handler.refuseQuarantined(reservation);
 				return;
 			}
 
 			case Suspicion.suspect: {
-				this.#arrivedSuspect(reservation, judgement);
+				this.#arrivedSuspect(reservation, status);
 			}
 		}
 	}
 
-	/** True while the reservation waits here and the queue does not know it. */
-	holds(reservation: Reservation): boolean {
+	/** True while the reservation waits at the gate and is not in the queue. */
+	isWaiting(reservation: Reservation): boolean {
 		return this.#waiting.includes(reservation);
 	}
 
-	/** The reservation is no longer at this side; a suspect that ran to its end is cleared. */
-	left(reservation: Reservation, ranWhole: boolean): void {
+	/** The reservation has been removed from this side; a suspect that ran to completion is cleared. */
+	removed(reservation: Reservation, ranToCompletion: boolean): void {
 		this.#waiting = this.#waiting.filter(waiting => waiting !== reservation);
 		if (this.#current?.reservation !== reservation) {
 			return;
 		}
 
-		const {judgement} = this.#current;
+		const {status} = this.#current;
 		this.#current = undefined;
-		if (ranWhole) {
-			this.#ledger.note(createClearedRecord(reservation.summary.fingerprint, judgement, Date.now()));
+		if (ranToCompletion) {
+			this.#ledger.note(createClearedRecord(reservation.summary.fingerprint, status, Date.now()));
 		}
 
-		this.review([]);
+		this.reevaluate([]);
 	}
 
-	/** The side takes no new work: the queue refuses what waited here. */
-	open(): void {
+	/** Admits all waiting reservations. Used when the side takes no new requests, so that the queue refuses them. */
+	admitAll(): void {
 		const waiting = this.#waiting;
 		this.#waiting = [];
 		for (const reservation of waiting) {
-			this.#owner.admit(reservation);
+			this.#handler.admit(reservation);
 		}
 	}
 
-	/** Judges again what has not begun, after news or when the gate is free. */
-	review(notBegun: readonly Reservation[]): void {
-		for (const reservation of notBegun) {
+	/** Evaluates the reservations that are not running again, after new records or when the gate is free. */
+	reevaluate(pending: readonly Reservation[]): void {
+		for (const reservation of pending) {
 			if (this.#ledger.judge(reservation.summary.fingerprint).suspicion === Suspicion.quarantined) {
-				this.#owner.refuseQuarantined(reservation);
+				this.#handler.refuseQuarantined(reservation);
 			}
 		}
 
@@ -96,13 +96,13 @@
 		}
 	}
 
-	#arrivedSuspect(reservation: Reservation, judgement: FingerprintStatus): void {
+	#arrivedSuspect(reservation: Reservation, status: FingerprintStatus): void {
 		if (this.#current) {
 			this.#waiting.push(reservation);
 			return;
 		}
 
-		this.#current = {reservation, judgement};
-		this.#owner.admit(reservation);
+		this.#current = {reservation, status};
+		this.#handler.admit(reservation);
 	}
 }
--- a/test/side/orders.test.ts
+++ b/test/side/orders.test.ts
@@ -8,9 +8,9 @@
 
 const order = (version: string) => ({order: 'load-model' as const, name: 'model', version});
 
-tap.test('whatever the pauses, no order of an older owner is sent after a newer one\'s first, even if the endpoint ignores fences', async () => {
-	// Two sides own the endpoint one after the other. The old one reads the stream, is paused, wakes and
-	// sends if it may. The new one waits out the lease. The caller must never see the old version again.
+tap.test('with arbitrary pauses, no order of an earlier owner is sent after the first one of a later owner, even if the endpoint ignores fencing numbers', async () => {
+	// Two sides own the endpoint one after the other. The old one reads the stream, is paused, resumes and
+	// sends if it is allowed to. The new one waits for the lease to expire. The old version must never be loaded again.
 	fc.assert(fc.property(fc.nat(10_000), fc.nat(10_000), fc.nat(10_000), (oldReadAt, pause, newOwnedAt) => {
 		const records = [{offset: 0, value: {type: 'owner', endpoint: 'e', instance: 'side-1'}}];
 		const newRecord = {offset: 1, value: {type: 'owner', endpoint: 'e', instance: 'side-2'}};
@@ -34,21 +34,21 @@
 	await use({log, engine, client, control});
 }
 
-async function desk({client, control}: Harness, instance: string, more: Partial<OrderSenderSettings>): Promise<OrderSender> {
+async function createSender({client, control}: Harness, instance: string, more: Partial<OrderSenderSettings>): Promise<OrderSender> {
 	return OrderSender.create({log: client, control, instance, endpoint: 'e', endpointChecksFences: true, ...more});
 }
 
 for (const endpointChecksFences of [true, false]) {
-	tap.test(`an old side that wakes after its replacement took over gives no order (endpoint checks fences: ${endpointChecksFences})`, async t => {
-		// The first side loads version 1 and is paused. Its replacement loads version 2. The first wakes with
+	tap.test(`an old side that resumes after its replacement took over sends no order (endpoint checks fencing numbers: ${endpointChecksFences})`, async t => {
+		// The first side loads version 1 and is paused. Its replacement loads version 2. The first resumes with
 		// an order for version 1: it reads the stream again, finds that it has been superseded, and sends nothing.
 		await withHarness(endpointChecksFences, async harness => {
 			let skew = 0;
 			const now = () => Date.now() + skew;
-			const first = await desk(harness, 'side-1', {endpointChecksFences, now});
+			const first = await createSender(harness, 'side-1', {endpointChecksFences, now});
 			skew += 2 * ownershipLeaseMilliseconds;
 			t.match(await first.order(order('1')), {type: 'taken'});
-			const second = await desk(harness, 'side-2', {endpointChecksFences, now});
+			const second = await createSender(harness, 'side-2', {endpointChecksFences, now});
 			skew += 2 * ownershipLeaseMilliseconds;
 			t.match(await second.order(order('2')), {type: 'taken'});
 			t.match(await first.order(order('1')), {type: 'superseded'});
@@ -57,32 +57,32 @@
 	});
 }
 
-tap.test('a side that is paused between reading and ordering is stopped by the engine\'s check', async t => {
+tap.test('the order of a side that is paused between reading and ordering is rejected by the engine\'s fencing check', async t => {
 	await withHarness(true, async harness => {
-		const pausing = {
+		const pausingControl = {
 			async order(...parameters: Parameters<EngineControl['order']>): Promise<OrderResult> {
-				const second = await desk(harness, 'side-2', {});
+				const second = await createSender(harness, 'side-2', {});
 				await second.order(order('2'));
 				return harness.control.order(...parameters);
 			},
 			models: async () => harness.control.models(),
 		};
-		const first = await desk(harness, 'side-1', {control: pausing});
+		const first = await createSender(harness, 'side-1', {control: pausingControl});
 		t.match(await first.order(order('1')), {type: 'superseded'});
 		t.same(harness.engine.loaded.taken.map(({version}) => version), ['2']);
 	});
 });
 
-tap.test('with the log down no order is given, and a record that has left the log counts as superseded', async t => {
+tap.test('no order is sent while the log is down, and a side whose record has left the log counts as superseded', async t => {
 	await withHarness(true, async harness => {
-		const first = await desk(harness, 'side-1', {});
+		const first = await createSender(harness, 'side-1', {});
 		await harness.log.stop();
 		t.match(await first.order(order('1')), {type: 'failed'});
 		await harness.log.start();
 		t.match(await first.order(order('1')), {type: 'taken'});
 		harness.log.faults.retainRecords = 1;
 		harness.log.put('orders-e', 'another record');
-		const late = await desk({...harness}, 'side-3', {});
+		const late = await createSender({...harness}, 'side-3', {});
 		t.match(await late.order(order('3')), {type: 'taken'});
 		t.match(await first.order(order('1')), {type: 'superseded'});
 	});
