--- a/src/side/crash-detector.ts
+++ b/src/side/crash-detector.ts
@@ -3,7 +3,7 @@
 import {type QuarantineLedger} from '../platform/index.js';
 import {createCrashRecord} from '../policy/quarantine/index.js';
 
-/** Delays before each health check: the first catches an engine that restarts at once, the last one that crashes slowly. */
+/** Delays before each health check: the first catches an engine that restarts at once, the last an engine that goes down slowly. */
 const checkDelaysMilliseconds: readonly number[] = [0, 40, 80];
 
 export type CrashDetectorSettings = {
--- a/src/side/suspect-gate.ts
+++ b/src/side/suspect-gate.ts
@@ -2,7 +2,7 @@
 import {createClearedRecord, Suspicion, type FingerprintStatus} from '../policy/quarantine/index.js';
 import {type Reservation} from './reservation.js';
 
-/** Executes the decisions of the gate. */
+/** Executes the decisions of the gate; implemented by `RequestExecutor`. */
 export type SuspectGateHandler = {
 	/** Puts the reservation into the queue. */
 	admit(reservation: Reservation): void;
@@ -81,7 +81,7 @@
 		}
 	}
 
-	/** Evaluates the reservations that are not running again, after new records or when the gate is free. */
+	/** Re-evaluates reservations that are not running: after new quarantine records, or when the gate is free. */
 	reevaluate(pending: readonly Reservation[]): void {
 		for (const reservation of pending) {
 			if (this.#ledger.judge(reservation.summary.fingerprint).suspicion === Suspicion.quarantined) {
