--- a/test/gateway/busy-processor.test.ts
+++ b/test/gateway/busy-processor.test.ts
@@ -1,5 +1,5 @@
 import tap from 'tap';
-import {breaches, confirmation, draft, ticket, workspaces} from './urgent-kinds.js';
+import {breaches, confirmation, draft, ticket, workspaces} from './request-kinds.js';
 import {type Costs, VirtualFleet} from './virtual-fleet.js';
 import {VirtualTime} from './virtual-time.js';
 
--- a/test/gateway/engine-rank.test.ts
+++ b/test/gateway/engine-priority.test.ts
@@ -1,6 +1,6 @@
 import tap from 'tap';
 import {desiredState} from '../../fakes/platform-state.js';
-import {eventually, World} from './world.js';
+import {eventually, World} from './testbed.js';
 
 const base = {host: 'studio.example', timeoutMs: 1500, targetLatencyMs: 100, maxAttempts: 1, public: false, sticky: false, resumable: false, kind: 'streaming', service: 'models'};
 const routes = [
--- a/test/gateway/stop.test.ts
+++ b/test/gateway/graceful-shutdown.test.ts
@@ -2,7 +2,7 @@
 import net from 'node:net';
 import tap from 'tap';
 import {drainListenMilliseconds} from '../../src/gateway/index.js';
-import {eventually, World} from './world.js';
+import {eventually, World} from './testbed.js';
 
 /** The balancer asks each second and takes an instance out after two misses; an answer takes up to this. */
 const balancerMilliseconds = 2000;
--- a/test/gateway/path.test.ts
+++ b/test/gateway/path.test.ts
@@ -1,6 +1,6 @@
 import tap from 'tap';
 import {desiredState} from '../../fakes/platform-state.js';
-import {eventually, World} from './world.js';
+import {eventually, World} from './testbed.js';
 
 tap.test('a request reaches a worker of its route unchanged, and the answer comes back as made', async t => {
 	await using world = await World.create();
--- a/test/gateway/kept.test.ts
+++ b/test/gateway/prompt-cache.test.ts
@@ -1,6 +1,6 @@
 import tap from 'tap';
 import {desiredState} from '../../fakes/platform-state.js';
-import {eventually, World} from './world.js';
+import {eventually, World} from './testbed.js';
 
 const prompt = {'prefix-hash': 'aa:2500,bb:3800,cc:90', 'token-usage': '6390,50'};
 
--- a/test/gateway/store-copy.test.ts
+++ b/test/gateway/store-restore.test.ts
@@ -3,7 +3,7 @@
 import {desiredState} from '../../fakes/platform-state.js';
 import {FakePlatformWorker} from '../../fakes/platform-worker.js';
 import {endpointStatusOf, EndpointStatus} from '../../src/routing/index.js';
-import {eventually, World} from './world.js';
+import {eventually, World} from './testbed.js';
 
 const tenants = (withB: boolean) => [{name: 'studio-a', apiKeys: ['key-a']}, {name: 'studio-b', apiKeys: withB ? ['key-b'] : []}];
 
--- a/test/gateway/urgent-across-instances.test.ts
+++ b/test/gateway/urgent-across-instances.test.ts
@@ -1,5 +1,5 @@
 import tap from 'tap';
-import {breaches, createFleet, runBurst} from './urgent-kinds.js';
+import {breaches, createFleet, runBurst} from './request-kinds.js';
 import {VirtualTime} from './virtual-time.js';
 
 // Two of four instances have three times as many callers as the others. Tickets and confirmations ask for nine tenths of what the
--- a/test/gateway/urgent-under-load.test.ts
+++ b/test/gateway/urgent-under-load.test.ts
@@ -1,5 +1,5 @@
 import tap from 'tap';
-import {breaches, createFleet, runBurst} from './urgent-kinds.js';
+import {breaches, createFleet, runBurst} from './request-kinds.js';
 import {VirtualTime} from './virtual-time.js';
 
 // For ten seconds drafts come at twice what the engines can read. Confirmations of the same workspaces were answered 503 a
--- a/test/gateway/workspace-first.test.ts
+++ b/test/gateway/workspace-urgency.test.ts
@@ -1,5 +1,5 @@
 import tap from 'tap';
-import {breaches, confirmation, draft, ticket} from './urgent-kinds.js';
+import {breaches, confirmation, draft, ticket} from './request-kinds.js';
 import {VirtualFleet} from './virtual-fleet.js';
 import {VirtualTime} from './virtual-time.js';
 
