--- a/src/gateway/feed-follower.ts
+++ b/src/gateway/feed-follower.ts
@@ -134,7 +134,7 @@
 			}
 
 			case 'gone': {
-				logger.warn('History is gone, reading the newest values.', {feed: feed.name, era: this.#next.era, from: this.#next.offset});
+				logger.warn('History is no longer retained, reading a snapshot.', {feed: feed.name, era: this.#next.era, from: this.#next.offset});
 				this.#next = undefined;
 				return;
 			}
@@ -212,7 +212,7 @@
 
 	#reportEra(change: EraChange, unconfirmed: number): void {
 		const {feed, before, after} = change;
-		this.#options.logger.warn('The store came back from a copy.', {feed, eraBefore: before.era, era: after.era, offsetBefore: before.offset, offset: after.offset, onTrust: unconfirmed});
+		this.#options.logger.warn('The store was restored from a backup.', {feed, eraBefore: before.era, era: after.era, offsetBefore: before.offset, offset: after.offset, onTrust: unconfirmed});
 		this.#options.onEra(change);
 	}
 
@@ -224,7 +224,7 @@
 
 	#recordSuccess(): void {
 		if (this.#failures > 0) {
-			this.#options.logger.info('Store regained.', {feed: this.#options.feed.name, failures: this.#failures});
+			this.#options.logger.info('Store available again.', {feed: this.#options.feed.name, failures: this.#failures});
 		}
 
 		this.#failures = 0;
@@ -234,7 +234,7 @@
 		this.#failures += 1;
 		this.#isStoreUnresponsive = true;
 		if (this.#failures === 1) {
-			this.#options.logger.warn('Store lost.', {feed: this.#options.feed.name, reason: String(error), era: this.#next?.era, offset: this.#next?.offset});
+			this.#options.logger.warn('Store unavailable.', {feed: this.#options.feed.name, reason: String(error), era: this.#next?.era, offset: this.#next?.offset});
 		}
 
 		const {otherInstances, pauseMilliseconds, random, applyMilliseconds, onFailed} = this.#options;
--- a/src/gateway/prompt-cache-reader.ts
+++ b/src/gateway/prompt-cache-reader.ts
@@ -104,12 +104,12 @@
 		try {
 			const parts = await read(address);
 			this.#alreadyRead.add(endpoint);
-			logger.info('Kept prompts read.', {
+			logger.info('Cached prompt parts read.', {
 				endpoint, parts: parts.length, tokens: tokensOf(parts), milliseconds: Math.round(performance.now() - requestedAt),
 			});
 			onRead({endpoint, parts});
 		} catch (error) {
-			logger.warn('Kept prompts could not be read.', {endpoint, reason: String(error)});
+			logger.warn('Could not read cached prompt parts.', {endpoint, reason: String(error)});
 		}
 	}
 }
--- a/src/gateway/routing-state.ts
+++ b/src/gateway/routing-state.ts
@@ -113,7 +113,7 @@
 
 		const restarted = [...new Set(effective.map(change => endpointIdOf(change)))].filter(id => this.#hasRestarted(before, id));
 		if (restarted.length > 0) {
-			this.#logger.info('Endpoints started again under their ids.', {endpoints: restarted, source});
+			this.#logger.info('Endpoints restarted.', {endpoints: restarted, source});
 			this.#notify({type: 'reborn', ids: restarted}, source);
 		}
 	}
@@ -125,7 +125,7 @@
 		}
 
 		const unconfirmed = this.#directory.unconfirmed(now).map(({record}) => record.id);
-		this.#logger.info('Endpoints of a newer era.', {era, before: before.era, source, onTrust: unconfirmed.length, endpoints: unconfirmed.slice(0, maxLoggedEndpoints)});
+		this.#logger.info('Endpoints belong to a newer era of the store.', {era, before: before.era, source, onTrust: unconfirmed.length, endpoints: unconfirmed.slice(0, maxLoggedEndpoints)});
 		this.#notify({type: 'era', era}, source);
 	}
 
--- a/test/gateway/attempt.test.ts
+++ b/test/gateway/attempt.test.ts
@@ -5,24 +5,24 @@
 import {Attempt, type AttemptEvent} from '../../src/gateway/attempt.js';
 import {ConnectionPool} from '../../src/gateway/connection-pool.js';
 
-type Answering = (socket: net.Socket) => void;
+type Respond = (socket: net.Socket) => void;
 
-/** Sends one request to an endpoint that answers so, and gives all events up to the last. */
-async function attemptAgainst(answer: Answering): Promise<AttemptEvent[]> {
+/** Sends one request to an endpoint that responds like this, and returns all events of the attempt. */
+async function attemptAgainst(respond: Respond): Promise<AttemptEvent[]> {
 	const server = net.createServer(socket => {
 		socket.once('data', () => {
-			answer(socket);
+			respond(socket);
 		});
 		socket.on('error', () => undefined);
 	});
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
-	const channels = ConnectionPool.create(4);
+	const connectionPool = ConnectionPool.create(4);
 	const events: AttemptEvent[] = [];
 	await new Promise<void>(resolve => {
 		Attempt.start({
 			address: `127.0.0.1:${(server.address() as AddressInfo).port}`,
-			method: 'GET', path: '/', headers: ['Host', 'a.example'], body: undefined, connectionPool: channels,
+			method: 'GET', path: '/', headers: ['Host', 'a.example'], body: undefined, connectionPool,
 			onEvent(event) {
 				events.push(event);
 				if (event.type === 'end' || event.type === 'broken') {
@@ -31,17 +31,17 @@
 			},
 		});
 	});
-	channels.destroy();
+	connectionPool.destroy();
 	server.close();
 	return events;
 }
 
 const head = 'HTTP/1.1 200 OK\r\nRequest-Id: 1\r\n';
 
-// A worker may send an answer without a length, which ends with its connection. Its process dies in
-// the middle: the connection is reset, and a parser that knows only "no more bytes" takes the half
-// answer for whole. The caller would get it framed as complete.
-tap.test('an answer without a length that is reset is not whole', async t => {
+// A response without a length ends with its connection. If the worker's process dies in the middle, the connection is reset; a
+// parser that is told only that no more bytes come would take the part for a complete response, and the caller would get it
+// framed as complete.
+tap.test('a response without a length whose connection is reset is incomplete', async t => {
 	const events = await attemptAgainst(socket => {
 		socket.write(`${head}\r\nhalf of it`, () => {
 			setTimeout(() => {
@@ -53,9 +53,9 @@
 	t.notOk(events.some(event => event.type === 'end'));
 });
 
-// The same, but half answer and reset are read in one turn. libuv then reports the reset as a plain
-// end of the connection, and only the connection's state still tells the two apart.
-tap.test('an answer without a length that is reset in the turn of its bytes is not whole', async t => {
+// If the partial response and the reset are read in one turn of the event loop, libuv reports the reset as a plain end of the
+// connection, and only the connection's state still distinguishes the two.
+tap.test('a response without a length is incomplete if the reset is read in the same turn as its bytes', async t => {
 	const events = await attemptAgainst(socket => {
 		socket.write(`${head}\r\nhalf of it`);
 		socket.resetAndDestroy();
@@ -64,31 +64,31 @@
 	t.notOk(events.some(event => event.type === 'end'));
 });
 
-tap.test('an answer without a length that ends with its connection is whole', async t => {
+tap.test('a response without a length is complete when its connection ends', async t => {
 	const events = await attemptAgainst(socket => {
 		socket.end(`${head}\r\nall of it`);
 	});
 	t.equal(events.at(-1)?.type, 'end');
 });
 
-// Fewer bytes than announced, then the end of the connection: never whole.
-tap.test('an answer shorter than its length is not whole', async t => {
+// The connection ends after fewer bytes than announced.
+tap.test('a response shorter than its length is incomplete', async t => {
 	const events = await attemptAgainst(socket => {
 		socket.end(`${head}Content-Length: 20\r\n\r\nhalf of it`);
 	});
 	t.equal(events.at(-1)?.type, 'broken');
 });
 
-tap.test('a chunked answer without its last chunk is not whole', async t => {
+tap.test('a chunked response without its last chunk is incomplete', async t => {
 	const events = await attemptAgainst(socket => {
 		socket.end(`${head}Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n`);
 	});
 	t.equal(events.at(-1)?.type, 'broken');
 });
 
-// A worker that keeps its connections sends a late second answer, or bytes after a whole one. The
-// next request must not read them as its own: the connection is given up, and a new one is made.
-tap.test('a connection with bytes after a whole answer carries no further request', async t => {
+// A worker with keep-alive connections sends a late second response, or bytes after a complete one. The next request must not
+// read them as its own response, so the connection is closed and a new one is opened.
+tap.test('a connection with bytes after a complete response is not reused', async t => {
 	let connections = 0;
 	const server = net.createServer(socket => {
 		connections += 1;
@@ -102,13 +102,13 @@
 	});
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
-	const channels = ConnectionPool.create(4);
+	const connectionPool = ConnectionPool.create(4);
 	const bodies: string[] = [];
 	for (let turn = 0; turn < 2; turn++) {
 		await new Promise<void>(resolve => {
 			Attempt.start({
 				address: `127.0.0.1:${(server.address() as AddressInfo).port}`,
-				method: 'GET', path: '/', headers: ['Host', 'a.example'], body: undefined, connectionPool: channels,
+				method: 'GET', path: '/', headers: ['Host', 'a.example'], body: undefined, connectionPool,
 				onEvent(event) {
 					if (event.type === 'data') {
 						bodies.push(Buffer.from(event.bytes).toString());
@@ -122,13 +122,13 @@
 		});
 	}
 
-	channels.destroy();
+	connectionPool.destroy();
 	server.close();
 	t.same(bodies, ['ok', 'ok']);
 	t.equal(connections, 2);
 });
 
-tap.test('a connection without such bytes is used again', async t => {
+tap.test('a connection without extra bytes is reused', async t => {
 	let connections = 0;
 	const server = net.createServer(socket => {
 		connections += 1;
@@ -139,17 +139,17 @@
 	});
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
-	const channels = ConnectionPool.create(4);
+	const connectionPool = ConnectionPool.create(4);
 	for (let turn = 0; turn < 3; turn++) {
 		const events = await new Promise<AttemptEvent[]>(resolve => {
-			const seen: AttemptEvent[] = [];
+			const received: AttemptEvent[] = [];
 			Attempt.start({
 				address: `127.0.0.1:${(server.address() as AddressInfo).port}`,
-				method: 'GET', path: '/', headers: ['Host', 'a.example'], body: undefined, connectionPool: channels,
+				method: 'GET', path: '/', headers: ['Host', 'a.example'], body: undefined, connectionPool,
 				onEvent(event) {
-					seen.push(event);
+					received.push(event);
 					if (event.type === 'end') {
-						setTimeout(resolve, 10, seen);
+						setTimeout(resolve, 10, received);
 					}
 				},
 			});
@@ -157,7 +157,7 @@
 		t.equal(events.at(-1)?.type, 'end');
 	}
 
-	channels.destroy();
+	connectionPool.destroy();
 	server.close();
 	t.equal(connections, 1);
 });
--- a/test/gateway/graceful-shutdown.test.ts
+++ b/test/gateway/graceful-shutdown.test.ts
@@ -2,20 +2,20 @@
 import net from 'node:net';
 import tap from 'tap';
 import {drainListenMilliseconds} from '../../src/gateway/index.js';
-import {eventually, World} from './testbed.js';
+import {eventually, Testbed} from './testbed.js';
 
-/** The balancer asks each second and takes an instance out after two misses; an answer takes up to this. */
+/** The load balancer checks each second and removes an instance after two failures; a response takes up to `responseMilliseconds`. */
 const balancerMilliseconds = 2000;
-const answerMilliseconds = 300;
-/** What is taken later than this after the stop began is cut if it is long. */
+const responseMilliseconds = 300;
+/** A long request accepted later than this after the start of the shutdown would be cut off. */
 const lastStartMilliseconds = 3000;
 const timerMilliseconds = 200;
 
-// An instance is stopped. A caller's connection was kept, and 3.1 s later it sent a request there whose stream
-// lasts four seconds; the stop's end cut it in the middle. The port has to stay open until the balancer
-// sends nobody any more, and no longer than what is taken can still end.
-tap.test('a stopping instance takes requests until the balancer knows, and none that it would cut', async t => {
-	t.ok(drainListenMilliseconds >= balancerMilliseconds + answerMilliseconds);
+// 3.1 s after the start of a shutdown a caller sent a request on a keep-alive connection; its stream lasts four seconds and was cut
+// off by the end of the shutdown. The port must stay open until the load balancer sends no more requests, and only as long as
+// accepted requests can still complete.
+tap.test('an instance that shuts down accepts requests until the load balancer has removed it, and none that it would cut off', async t => {
+	t.ok(drainListenMilliseconds >= balancerMilliseconds + responseMilliseconds);
 	t.ok(drainListenMilliseconds + timerMilliseconds < lastStartMilliseconds);
 });
 
@@ -23,13 +23,13 @@
 	return `POST /question/1 HTTP/1.1\r\nHost: studio.example\r\nRequest-Id: ${id}\r\nAuthorization: Bearer key-a\r\nDeadline-Ms: 9000\r\nContent-Length: 2\r\n\r\nhi`;
 }
 
-// A stream is under way on a kept connection, and its head left before the stop began, so without a word that
-// the connection closes. The caller rightly sends its next request there seconds later; it was read and passed on, and
-// the stop's end cut it in the middle. The connection is closed with the stream's last byte instead.
-tap.test('a kept connection whose answer began before the stop carries nothing after it', async t => {
-	await using world = await World.create();
-	world.answerWith('models', () => ({type: 'events', count: 12, gapMilliseconds: 40}));
-	const gateway = await world.startGateway();
+// A stream is in progress on a keep-alive connection. Its head was sent before the shutdown and does not announce that the connection
+// closes, so the caller may send its next request there seconds later; that request was forwarded, and the end of the shutdown cut
+// it off. The connection must be closed with the last byte of the stream instead.
+tap.test('a keep-alive connection whose response began before the shutdown is closed after it', async t => {
+	await using testbed = await Testbed.create();
+	testbed.respondWith('models', () => ({type: 'events', count: 12, gapMilliseconds: 40}));
+	const gateway = await testbed.startGateway();
 	const [host, port] = gateway.gateway.address.split(':');
 	const socket = net.connect(Number(port), host);
 	let text = '';
@@ -49,21 +49,21 @@
 	await eventually(() => text.includes('id: 1'));
 	const drained = gateway.drain();
 	await eventually(() => isClosed);
-	t.match(text, 'id: 12', 'the answer that was under way is whole');
+	t.match(text, 'id: 12', 'the response in progress is complete');
 	t.ok(text.endsWith('0\r\n\r\n'));
-	t.equal(world.arrivals('second'), 0, 'what came after it was not passed on');
+	t.equal(testbed.attemptCount('second'), 0, 'the next request was not forwarded');
 	t.ok(await drained);
 });
 
-// The stop comes between a request's arrival and its answer's head: the head says that the connection closes.
-tap.test('an answer that begins after the stop says that its connection closes', async t => {
-	await using world = await World.create();
-	world.answerWith('orders', () => ({type: 'whole', body: 'done', afterMilliseconds: 300}));
-	const gateway = await world.startGateway();
-	const asked = world.ask({id: 'slow'});
-	await eventually(() => world.arrivals('slow') === 1);
+// The shutdown starts between a request's arrival and the head of its response, which then announces that the connection closes.
+tap.test('a response that begins after the start of the shutdown announces that its connection closes', async t => {
+	await using testbed = await Testbed.create();
+	testbed.respondWith('orders', () => ({type: 'whole', body: 'done', afterMilliseconds: 300}));
+	const gateway = await testbed.startGateway();
+	const sent = testbed.send({id: 'slow'});
+	await eventually(() => testbed.attemptCount('slow') === 1);
 	const drained = gateway.drain();
-	const {status, headers} = await asked;
+	const {status, headers} = await sent;
 	t.equal(status, 200);
 	t.equal(headers.connection, 'close');
 	t.ok(await drained);
--- a/test/gateway/queue-reports.test.ts
+++ b/test/gateway/queue-reports.test.ts
@@ -4,66 +4,67 @@
 import {defaultTuning, type QueueReport, type LoadEvent} from '../../src/policy/dispatch/index.js';
 import {VirtualTime} from './virtual-time.js';
 
-const quiet = {debug: () => undefined, info: () => undefined, warn: () => undefined, error: () => undefined};
+const silentLogger = {debug: () => undefined, info: () => undefined, warn: () => undefined, error: () => undefined};
 const zone = 'z' as ZoneName;
-const shared = {id: 1, tokens: 6000};
+const sharedPrefix = {id: 1, tokens: 6000};
 
-// Confirmations were refused at two of four instances, 30 and more waiting there, while the other two sent drafts: at the moments
-// in which these drafts got their places, 16 or more confirmations of the same workspaces waited elsewhere and none was told of.
-// Each of them had passed over a free engine once, for the one that holds its beginning, and counted from then on as one that
-// holds nobody up, though every engine was full by the next look.
-tap.test('a request that passed over a free engine is told of once none is free', async t => {
+// Confirmations were refused at two of four instances, where 30 and more were queued, while the other two sent drafts: when these
+// drafts were placed, 16 or more confirmations of the same workspaces waited elsewhere, and none was reported. Each of them had been
+// deferred once, for the engine with its prefix cached, and was treated from then on as if it needed no free slot, though all engines
+// were full by the next search.
+tap.test('a deferred request is reported to other instances once no engine is free', async t => {
 	using time = VirtualTime.install();
-	const told: LoadEvent[] = [];
-	using dispatcher = createDispatcher(told);
-	place(dispatcher, 'holder', 4, 5000);
-	const ticket = confirmation(time.now);
-	dispatcher.submit(ticket);
+	const loadEvents: LoadEvent[] = [];
+	using dispatcher = createDispatcher(loadEvents);
+	placeFromPeer(dispatcher, 'holder', 4, 5000);
+	const request = confirmation(time.now);
+	dispatcher.submit(request);
 	time.runFor(20);
-	t.same(linesOf(told), [], 'it waits for the engine that holds its beginning, while another one is free');
-	t.not(ticket.deferredAt, undefined, 'it has passed over that one');
+	t.same(queueReports(loadEvents), [], 'it waits for the engine with its prefix cached while another one is free');
+	t.not(request.deferredAt, undefined, 'it was deferred');
 
-	place(dispatcher, 'other', 4, 9000);
+	placeFromPeer(dispatcher, 'other', 4, 9000);
 	time.runFor(150);
-	t.match(linesOf(told), [{service: 'models', urgencies: [{route: 1}]}], 'now it waits for any');
+	t.match(queueReports(loadEvents), [{service: 'models', urgencies: [{route: 1}]}], 'now it waits for any engine');
 });
 
-function linesOf(told: readonly LoadEvent[]): QueueReport[] {
-	return told.filter(event => event.type === 'waiting');
+function queueReports(loadEvents: readonly LoadEvent[]): QueueReport[] {
+	return loadEvents.filter(event => event.type === 'waiting');
 }
 
-/** Two engines of four slots; one of them holds a beginning. */
-function createDispatcher(told: LoadEvent[]): Dispatcher {
-	const beliefs = RoutingState.create(quiet);
-	beliefs.applyTable({
+/** Creates a dispatcher with two engines of four slots; one of them will have the shared prefix cached. */
+function createDispatcher(loadEvents: LoadEvent[]): Dispatcher {
+	const routingState = RoutingState.create(silentLogger);
+	routingState.applyTable({
 		version: 1, routes: [], services: [{name: 'models', largestConnections: 10, engine: {slots: 4, memoryTokens: 500_000, tokensPerEvent: 1}}],
 		limits: {headerBytes: 1, bodyBytes: 1, headerMilliseconds: 1, idleMilliseconds: 1},
 	}, 'store');
 	const records = ['holder', 'other'].map(id => ({id, service: 'models', address: '127.0.0.1:1', zone, isLeaving: false, slots: 4, revision: 1}));
-	beliefs.applyEndpointChanges(records.map((record, offset) => ({type: 'registered', era: 0, offset, record})), 'store', performance.now());
+	routingState.applyEndpointChanges(records.map((record, offset) => ({type: 'registered', era: 0, offset, record})), 'store', performance.now());
 	const dispatcher = Dispatcher.create({
-		incarnation: 'a' as InstanceId, zone, routingState: beliefs, logger: quiet, allowance: {ratio: 0.1, slack: 10, windowMilliseconds: 10_000}, random: () => 0, tuning: defaultTuning,
+		incarnation: 'a' as InstanceId, zone, routingState, logger: silentLogger, allowance: {ratio: 0.1, slack: 10, windowMilliseconds: 10_000}, random: () => 0, tuning: defaultTuning,
 		onLoad(event) {
-			told.push(event);
+			loadEvents.push(event);
 		},
 	});
 	dispatcher.view = {links: 1, instances: 2};
 	return dispatcher;
 }
 
-/** Another instance sends so many prompts there, all with the shared beginning at the engine that holds it. */
-function place(dispatcher: Dispatcher, endpoint: string, count: number, prefillTokens: number): void {
+/** Reports prompts that another instance placed at an engine; those at `holder` all have the shared prefix. */
+function placeFromPeer(dispatcher: Dispatcher, endpoint: string, count: number, prefillTokens: number): void {
 	for (let number = 0; number < count; number++) {
-		const parts = endpoint === 'holder' ? [shared] : [{id: 100 + number, tokens: prefillTokens}];
+		const parts = endpoint === 'holder' ? [sharedPrefix] : [{id: 100 + number, tokens: prefillTokens}];
 		dispatcher.applyLoad({type: 'placed', run: {id: `b/${endpoint}${number}`, owner: 'b', endpoint, service: 'models', prefillTokens, isLatencyCritical: false, parts}});
 	}
 }
 
 function confirmation(now: number): PlacementRequest {
 	return {
-		id: 'confirmation', workspace: 'w', service: 'models', urgency: {route: 1, workspace: undefined}, work: 6500, arrivedAt: now, inTimeUntil: now + 3000, lastStartAt: now + 5000, excluded: new Set(), isIdempotent: true,
+		id: 'confirmation', workspace: 'w', service: 'models', urgency: {route: 1, workspace: undefined}, work: 6500,
+		arrivedAt: now, inTimeUntil: now + 3000, lastStartAt: now + 5000, excluded: new Set(), isIdempotent: true,
 		demand: {
-			service: 'models', urgency: 1, urgencies: {most: 1, least: 2}, targetMilliseconds: 4000, parts: [shared, {id: 2, tokens: 500}], isLatencyCritical: false,
+			service: 'models', urgency: 1, urgencies: {most: 1, least: 2}, targetMilliseconds: 4000, parts: [sharedPrefix, {id: 2, tokens: 500}], isLatencyCritical: false,
 			maxPauseMilliseconds: 300, strictestPauseMilliseconds: 200, waitedMilliseconds: 0, elapsedMilliseconds: 0, isOutranked: false,
 		},
 		onDecision: () => undefined,
--- a/test/gateway/virtual-fleet.ts
+++ b/test/gateway/virtual-fleet.ts
@@ -6,57 +6,57 @@
 import {requestCodec} from '../../platform/request-codec.js';
 import {type Processor, type VirtualTime} from './virtual-time.js';
 
-/** One kind of stream: its route, and what it asks of an engine. */
-export type Kind = {
+/** A kind of streaming request: settings of its route, and its cost at an engine. */
+export type RequestKind = {
 	readonly name: string;
 	readonly urgency: number;
 	readonly targetMilliseconds: number;
-	readonly pauseMilliseconds: number;
+	readonly maxPauseMilliseconds: number;
 	readonly timeoutMilliseconds: number;
-	/** Tokens of the beginning that many requests share, how many such beginnings there are, and tokens of its own. */
+	/** Tokens of the prefix that many requests share, number of such prefixes, and tokens of the request's own part. */
 	readonly sharedTokens: number;
-	readonly beginnings: number;
+	readonly sharedPrefixes: number;
 	readonly ownTokens: number;
-	readonly answerMilliseconds: number;
-	/** Events of the answer; they cost the instance that passes them on. */
+	readonly responseMilliseconds: number;
+	/** Events of the response; forwarding them costs the instance processor time. */
 	readonly events?: number;
 };
 
 export type FleetOptions = {
 	readonly time: VirtualTime;
-	readonly kinds: readonly Kind[];
+	readonly kinds: readonly RequestKind[];
 	readonly instances: number;
 	readonly engines: number;
 	readonly slots: number;
 	readonly tokensPerMillisecond: number;
-	/** Urgencies of the workspaces; each request is of one of them, in turn. */
-	readonly workspaces: ReadonlyArray<number | undefined>;
+	/** Urgencies of the workspaces. Requests are assigned to workspaces in turn. */
+	readonly workspaceUrgencies: ReadonlyArray<number | undefined>;
 	readonly seed: number;
-	/** What an instance's processor spends, in milliseconds; without it nothing takes any time there. */
-	readonly costs?: Costs;
+	/** Processor time of an instance; if absent, nothing takes processor time. */
+	readonly costs?: ProcessorCosts;
 };
 
-/** Milliseconds of an instance's processor. */
-export type Costs = {
-	/** From the first byte of a request to its whole body. */
+/** Processor time of an instance for each operation, in milliseconds. */
+export type ProcessorCosts = {
+	/** Receiving a request, from its first byte to the end of its body. */
 	readonly arrival: number;
-	/** Sending it to an endpoint, and its end. */
-	readonly sending: number;
-	/** Passing one event on. */
+	/** Sending a request to an endpoint, and completing it. */
+	readonly attempt: number;
+	/** Forwarding one event. */
 	readonly event: number;
-	/** A look at one endpoint for one request. */
-	readonly look: number;
-	/** One word of load from another instance. */
-	readonly load: number;
+	/** Checking one endpoint in a placement search. */
+	readonly endpointCheck: number;
+	/** Applying one load report of another instance. */
+	readonly loadReport: number;
 };
 
-const noCosts: Costs = {arrival: 0, sending: 0, event: 0, look: 0, load: 0};
+const noCosts: ProcessorCosts = {arrival: 0, attempt: 0, event: 0, endpointCheck: 0, loadReport: 0};
 
-/** What became of one request. */
-export type Asked = {
+/** Progress and result of one request. */
+export type RequestRecord = {
 	readonly kind: string;
 	readonly instance: number;
-	readonly at: number;
+	readonly arrivedAt: number;
 	readonly workspaceUrgency: number | undefined;
 	decision: Decision | undefined;
 	placedAt: number | undefined;
@@ -64,77 +64,77 @@
 };
 
 const zone = 'z' as ZoneName;
-const quiet = {debug: () => undefined, info: () => undefined, warn: () => undefined, error: () => undefined};
+const silentLogger = {debug: () => undefined, info: () => undefined, warn: () => undefined, error: () => undefined};
 const service = 'models';
 const memoryTokens = 600_000;
-const leastMilliseconds = 15;
-/** What a prompt costs an engine beside its reading. */
-const overheadMilliseconds = 1;
+const minRunMilliseconds = 15;
+/** Time an engine takes for each prompt in addition to its prefill. */
+const promptOverheadMilliseconds = 1;
 
-type Run = {readonly prefillTokens: number; readonly urgency: number; readonly answerMilliseconds: number; readonly onFirstEvent: () => void; readonly onEnd: () => void};
+type EngineRun = {readonly prefillTokens: number; readonly urgency: number; readonly responseMilliseconds: number; readonly onFirstEvent: () => void; readonly onEnd: () => void};
 
-/** Admits so many at once, the most urgent first, and reads the prompts of those admitted one after the other. */
+/** An engine with a limited number of slots. It admits the most urgent requests first and prefills the admitted prompts one after the other. */
 class Engine {
 	readonly options: FleetOptions;
-	readonly #waiting: Run[] = [];
-	readonly #unread: Run[] = [];
+	readonly #queue: EngineRun[] = [];
+	readonly #prefillQueue: EngineRun[] = [];
 	#running = 0;
-	#isReading = false;
+	#isPrefilling = false;
 
 	constructor(options: FleetOptions) {
 		this.options = options;
 	}
 
-	take(run: Run): void {
-		this.#waiting.push(run);
-		this.#waiting.sort((left, right) => left.urgency - right.urgency);
+	enqueue(run: EngineRun): void {
+		this.#queue.push(run);
+		this.#queue.sort((left, right) => left.urgency - right.urgency);
 		this.#admit();
 	}
 
 	#admit(): void {
-		while (this.#running < this.options.slots && this.#waiting.length > 0) {
+		while (this.#running < this.options.slots && this.#queue.length > 0) {
 			this.#running += 1;
-			this.#unread.push(this.#waiting.shift()!);
+			this.#prefillQueue.push(this.#queue.shift()!);
 		}
 
-		this.#read();
+		this.#prefillNext();
 	}
 
-	#read(): void {
-		const run = this.#isReading ? undefined : this.#unread.shift();
+	#prefillNext(): void {
+		const run = this.#isPrefilling ? undefined : this.#prefillQueue.shift();
 		if (run === undefined) {
 			return;
 		}
 
 		const {time, tokensPerMillisecond} = this.options;
-		this.#isReading = true;
-		time.after((run.prefillTokens / tokensPerMillisecond) + overheadMilliseconds, () => {
-			this.#isReading = false;
+		this.#isPrefilling = true;
+		time.after((run.prefillTokens / tokensPerMillisecond) + promptOverheadMilliseconds, () => {
+			this.#isPrefilling = false;
 			run.onFirstEvent();
-			time.after(run.answerMilliseconds, () => {
+			time.after(run.responseMilliseconds, () => {
 				this.#running -= 1;
 				run.onEnd();
 				this.#admit();
 			});
-			this.#read();
+			this.#prefillNext();
 		});
 	}
 }
 
-/** Several dispatchers before the same engines, in virtual time; each hears of the others' load as late as real ones do. */
+/** Several dispatchers that share engines, in virtual time. Each receives the others' load reports with the propagation delay of real instances. */
 export class VirtualFleet implements Disposable {
 	static create(options: FleetOptions): VirtualFleet {
 		return new VirtualFleet(options);
 	}
 
-	readonly asked: Asked[] = [];
+	readonly requests: RequestRecord[] = [];
 	readonly dispatchers: readonly Dispatcher[];
 	readonly #options: FleetOptions;
 	readonly #random: Random;
-	readonly #beliefs: readonly RoutingState[];
+	readonly #routingStates: readonly RoutingState[];
 	readonly #engines = new Map<string, Engine>();
 	readonly #processors: readonly Processor[];
-	readonly #costs: Costs;
+	readonly #costs: ProcessorCosts;
 
 	private constructor(options: FleetOptions) {
 		this.#options = options;
@@ -148,21 +148,21 @@
 			this.#engines.set(id, new Engine(options));
 		}
 
-		this.#beliefs = Array.from({length: options.instances}, () => RoutingState.create(quiet));
-		this.dispatchers = this.#beliefs.map((beliefs, number) => {
-			beliefs.applyEndpointChanges(records.map((record, offset) => ({type: 'registered', era: 0, offset, record})), 'store', performance.now());
+		this.#routingStates = Array.from({length: options.instances}, () => RoutingState.create(silentLogger));
+		this.dispatchers = this.#routingStates.map((routingState, number) => {
+			routingState.applyEndpointChanges(records.map((record, offset) => ({type: 'registered', era: 0, offset, record})), 'store', performance.now());
 			const dispatcher = Dispatcher.create({
-				incarnation: `i${number}` as InstanceId, zone, routingState: beliefs, logger: quiet, allowance: {ratio: 0.1, slack: 10, windowMilliseconds: 10_000},
+				incarnation: `i${number}` as InstanceId, zone, routingState, logger: silentLogger, allowance: {ratio: 0.1, slack: 10, windowMilliseconds: 10_000},
 				random: () => this.#random.uniform(), tuning: defaultTuning,
 				onLoad: event => {
-					this.#tell(number, event);
+					this.#broadcastLoad(number, event);
 				},
 			});
 			dispatcher.view = {links: options.instances - 1, instances: options.instances};
-			this.#chargeLooks(dispatcher);
+			this.#chargeEndpointChecks(dispatcher);
 			return dispatcher;
 		});
-		this.publish(1, options.workspaces);
+		this.publishTable(1, options.workspaceUrgencies);
 	}
 
 	[Symbol.dispose](): void {
@@ -171,8 +171,8 @@
 		}
 	}
 
-	/** A new routing table with workspaces of these urgencies, known to all at once. */
-	publish(version: number, workspaces: ReadonlyArray<number | undefined>): void {
+	/** Puts a new routing table with workspaces of these urgencies in force at all instances at once. */
+	publishTable(version: number, workspaces: ReadonlyArray<number | undefined>): void {
 		const table: RoutingTableInput = {
 			version,
 			routes: this.#options.kinds.map(kind => toRoute(kind)),
@@ -180,154 +180,160 @@
 			workspaces: workspaces.map((urgency, number) => ({name: `w${number}` as WorkspaceName, keys: [`k${number}`], urgency})),
 			limits: {headerBytes: 1, bodyBytes: 1, headerMilliseconds: 1, idleMilliseconds: 1},
 		};
-		for (const beliefs of this.#beliefs) {
-			beliefs.applyTable(table, 'store');
+		for (const routingState of this.#routingStates) {
+			routingState.applyTable(table, 'store');
 		}
 	}
 
-	/** Requests of a kind arrive at an instance for a while, at random but so many a second on average. */
-	arrive(kindName: string, instance: number, {perSecond, forMilliseconds}: {perSecond: number; forMilliseconds: number}): void {
-		this.#atRandom({perSecond, forMilliseconds}, () => {
-			this.ask(kindName, instance);
+	/** Schedules arrivals of a kind of request at an instance: at random times, with this average rate. */
+	scheduleArrivals(kindName: string, instance: number, {perSecond, forMilliseconds}: {perSecond: number; forMilliseconds: number}): void {
+		this.#scheduleAtRandom({perSecond, forMilliseconds}, () => {
+			this.send(kindName, instance);
 		});
 	}
 
-	/** Requests of other services: all they do here is to take processor time. */
-	burden(instance: number, {perSecond, forMilliseconds}: {perSecond: number; forMilliseconds: number}): void {
-		this.#atRandom({perSecond, forMilliseconds}, () => {
-			this.#onProcessor(instance, this.#costs.arrival + this.#costs.sending, () => undefined);
+	/** Schedules requests of other services, which only take processor time here. */
+	scheduleOtherTraffic(instance: number, {perSecond, forMilliseconds}: {perSecond: number; forMilliseconds: number}): void {
+		this.#scheduleAtRandom({perSecond, forMilliseconds}, () => {
+			this.#runOnProcessor(instance, this.#costs.arrival + this.#costs.attempt, () => undefined);
 		});
 	}
 
-	ask(kindName: string, instance: number): Asked {
+	send(kindName: string, instance: number): RequestRecord {
 		const {time, kinds} = this.#options;
-		const beliefs = this.#beliefs[instance]!;
+		const routingState = this.#routingStates[instance]!;
 		const dispatcher = this.dispatchers[instance]!;
-		const table = beliefs.table!;
+		const table = routingState.table!;
 		const kind = kinds.find(({name}) => name === kindName)!;
 		const route = table.routes.find(({name}) => name === kindName)!;
-		const workspace = this.#workspace(beliefs, this.asked.length);
-		const asked: Asked = {kind: kindName, instance, at: time.now, workspaceUrgency: workspace?.urgency, decision: undefined, placedAt: undefined, firstEventAt: undefined};
-		const number = this.asked.push(asked);
-		this.#onProcessor(instance, this.#costs.arrival, () => {
-			this.#submit(asked, {number, kind, dispatcher, table, route, workspace});
+		const workspace = this.#workspace(routingState, this.requests.length);
+		const request: RequestRecord = {kind: kindName, instance, arrivedAt: time.now, workspaceUrgency: workspace?.urgency, decision: undefined, placedAt: undefined, firstEventAt: undefined};
+		const number = this.requests.push(request);
+		this.#runOnProcessor(instance, this.#costs.arrival, () => {
+			this.#submit(request, {number, kind, dispatcher, table, route, workspace});
 		});
-		return asked;
+		return request;
 	}
 
-	/** Those of a kind that arrived in a span and were refused, and all of them. */
-	count(kind: string, {from, to, instance}: {from: number; to: number; instance?: number}): {refused: number; placed: number; asked: number} {
-		const own = this.asked.filter(one => one.kind === kind && one.at >= from && one.at < to && (instance === undefined || one.instance === instance));
+	/** Counts the requests of a kind that arrived in a span: those refused, those placed, and all. */
+	count(kind: string, {from, to, instance}: {from: number; to: number; instance?: number}): {refused: number; placed: number; total: number} {
+		const own = this.requests.filter(one => one.kind === kind && one.arrivedAt >= from && one.arrivedAt < to && (instance === undefined || one.instance === instance));
 		return {
 			refused: own.filter(({decision}) => decision?.type === 'refused').length,
 			placed: own.filter(({decision}) => decision?.type === 'placed').length,
-			asked: own.length,
+			total: own.length,
 		};
 	}
 
-	#atRandom({perSecond, forMilliseconds}: {perSecond: number; forMilliseconds: number}, act: () => void): void {
+	#scheduleAtRandom({perSecond, forMilliseconds}: {perSecond: number; forMilliseconds: number}, task: () => void): void {
 		for (let at = this.#random.exponential(1000 / perSecond); at < forMilliseconds; at += this.#random.exponential(1000 / perSecond)) {
-			this.#options.time.after(at, act);
+			this.#options.time.after(at, task);
 		}
 	}
 
-	#submit(asked: Asked, {number, kind, dispatcher, table, route, workspace}: {number: number; kind: Kind; dispatcher: Dispatcher; table: RoutingTable; route: Route; workspace: Workspace | undefined}): void {
+	#submit(
+		request: RequestRecord,
+		{number, kind, dispatcher, table, route, workspace}: {number: number; kind: RequestKind; dispatcher: Dispatcher; table: RoutingTable; route: Route; workspace: Workspace | undefined},
+	): void {
 		const {time} = this.#options;
 		const facts = {id: String(number), deadlineMilliseconds: route.timeoutMilliseconds, key: undefined, parts: this.#parts(kind, number), outputTokens: 20};
-		const demand = demandOf({facts, table, route, service, workspace, arrivedAt: asked.at});
+		const demand = demandOf({facts, table, route, service, workspace, arrivedAt: request.arrivedAt});
 		dispatcher.submit({
-			...placementRequestOf({facts, table, route, service, workspace, arrivedAt: asked.at}, demand),
+			...placementRequestOf({facts, table, route, service, workspace, arrivedAt: request.arrivedAt}, demand),
 			id: facts.id,
-			lastStartAt: asked.at + Math.min(route.timeoutMilliseconds - leastMilliseconds, requestCodec.patienceMilliseconds(route)),
+			lastStartAt: request.arrivedAt + Math.min(route.timeoutMilliseconds - minRunMilliseconds, requestCodec.patienceMilliseconds(route)),
 			excluded: new Set(),
 			isIdempotent: true,
 			onDecision: decision => {
-				asked.decision = decision;
+				request.decision = decision;
 				if (decision.type === 'placed') {
-					asked.placedAt = time.now;
-					this.#send(asked, kind, {dispatcher, decision, urgency: route.urgency});
+					request.placedAt = time.now;
+					this.#startAttempt(request, kind, {dispatcher, decision, urgency: route.urgency});
 				}
 			},
 		});
 	}
 
-	#send(asked: Asked, {events = 1, answerMilliseconds}: Kind, {dispatcher, decision, urgency}: {dispatcher: Dispatcher; decision: Extract<Decision, {type: 'placed'}>; urgency: number}): void {
+	#startAttempt(
+		request: RequestRecord, {events = 1, responseMilliseconds}: RequestKind,
+		{dispatcher, decision, urgency}: {dispatcher: Dispatcher; decision: Extract<Decision, {type: 'placed'}>; urgency: number},
+	): void {
 		const {time} = this.#options;
 		const {runId, prefillTokens, record} = decision;
-		time.spend(this.#costs.sending);
-		const run: Run = {
-			prefillTokens, urgency, answerMilliseconds,
+		time.spend(this.#costs.attempt);
+		const run: EngineRun = {
+			prefillTokens, urgency, responseMilliseconds,
 			onFirstEvent: () => {
-				asked.firstEventAt = time.now;
-				this.#onProcessor(asked.instance, this.#costs.event, () => {
+				request.firstEventAt = time.now;
+				this.#runOnProcessor(request.instance, this.#costs.event, () => {
 					dispatcher.recordFirstEvent(runId);
 				});
-				this.#passOn(asked.instance, events - 1, answerMilliseconds / events);
+				this.#forwardEvents(request.instance, events - 1, responseMilliseconds / events);
 			},
 			onEnd: () => {
-				this.#onProcessor(asked.instance, 0, () => {
+				this.#runOnProcessor(request.instance, 0, () => {
 					dispatcher.recordEnd(runId);
 				});
 			},
 		};
 		if (this.#options.costs === undefined) {
-			this.#engines.get(record.id)!.take(run);
+			this.#engines.get(record.id)!.enqueue(run);
 		} else {
-			time.outside(() => {
-				this.#engines.get(record.id)!.take(run);
+			time.runOffProcessor(() => {
+				this.#engines.get(record.id)!.enqueue(run);
 			});
 		}
 	}
 
-	#passOn(instance: number, events: number, gapMilliseconds: number): void {
+	#forwardEvents(instance: number, events: number, gapMilliseconds: number): void {
 		if (events <= 0 || this.#costs.event === 0) {
 			return;
 		}
 
 		this.#options.time.after(gapMilliseconds, () => {
-			this.#onProcessor(instance, this.#costs.event, () => undefined);
-			this.#passOn(instance, events - 1, gapMilliseconds);
+			this.#runOnProcessor(instance, this.#costs.event, () => undefined);
+			this.#forwardEvents(instance, events - 1, gapMilliseconds);
 		});
 	}
 
-	/** Acts on an instance's processor, after it has spent so much there. */
-	#onProcessor(instance: number, milliseconds: number, act: () => void): void {
+	/** Runs a task on an instance's processor after spending this time there. */
+	#runOnProcessor(instance: number, milliseconds: number, task: () => void): void {
 		const {time} = this.#options;
 		if (this.#options.costs === undefined) {
-			act();
+			task();
 			return;
 		}
 
-		time.on(this.#processors[instance]!, () => {
+		time.runOnProcessor(this.#processors[instance]!, () => {
 			time.spend(milliseconds);
-			act();
+			task();
 		});
 	}
 
-	#chargeLooks({loadTracker: book}: Dispatcher): void {
+	#chargeEndpointChecks({loadTracker}: Dispatcher): void {
 		const {time} = this.#options;
-		const load = book.load.bind(book);
-		book.load = (endpoint, now) => {
-			time.spend(this.#costs.look);
+		const load = loadTracker.load.bind(loadTracker);
+		loadTracker.load = (endpoint, now) => {
+			time.spend(this.#costs.endpointCheck);
 			return load(endpoint, now);
 		};
 	}
 
-	#workspace(beliefs: RoutingState, number: number): Workspace | undefined {
-		const workspaces = beliefs.tableInput?.workspaces ?? [];
+	#workspace(routingState: RoutingState, number: number): Workspace | undefined {
+		const workspaces = routingState.tableInput?.workspaces ?? [];
 		return workspaces[number % Math.max(1, workspaces.length)];
 	}
 
-	#parts({sharedTokens, beginnings, ownTokens, name}: Kind, number: number): PromptPart[] {
+	#parts({sharedTokens, sharedPrefixes, ownTokens, name}: RequestKind, number: number): PromptPart[] {
 		const base = this.#options.kinds.findIndex(kind => kind.name === name) * 1000;
-		return [{id: base + this.#random.below(beginnings), tokens: sharedTokens}, {id: 1_000_000 + number, tokens: ownTokens}];
+		return [{id: base + this.#random.below(sharedPrefixes), tokens: sharedTokens}, {id: 1_000_000 + number, tokens: ownTokens}];
 	}
 
-	#tell(sender: number, event: LoadEvent): void {
+	#broadcastLoad(sender: number, event: LoadEvent): void {
 		this.#options.time.after(propagationMilliseconds(this.#options.instances - 1), () => {
 			for (const [number, dispatcher] of this.dispatchers.entries()) {
 				if (number !== sender) {
-					this.#onProcessor(number, this.#costs.load, () => {
+					this.#runOnProcessor(number, this.#costs.loadReport, () => {
 						dispatcher.applyLoad(event);
 					});
 				}
@@ -336,9 +342,9 @@
 	}
 }
 
-function toRoute({name, urgency, targetMilliseconds, pauseMilliseconds, timeoutMilliseconds}: Kind): Route {
+function toRoute({name, urgency, targetMilliseconds, maxPauseMilliseconds, timeoutMilliseconds}: RequestKind): Route {
 	return {
 		name, host: 'h', pathPrefix: `/${name}/`, kind: RouteKind.stream, resumable: false, shares: [{service, weight: 1}], timeoutMilliseconds, targetMilliseconds,
-		urgency, largestAttempts: 1, isPublic: false, longestPauseMilliseconds: pauseMilliseconds,
+		urgency, largestAttempts: 1, isPublic: false, longestPauseMilliseconds: maxPauseMilliseconds,
 	};
 }
--- a/test/gateway/virtual-followers.ts
+++ b/test/gateway/virtual-followers.ts
@@ -6,24 +6,24 @@
 import {VirtualClient, VirtualStore} from './virtual-store.js';
 import {type VirtualTime} from './virtual-time.js';
 
-const quiet = {debug: () => undefined, info: () => undefined, warn: () => undefined, error: () => undefined};
-/** A message between instances, and a table with its way. */
+const silentLogger = {debug: () => undefined, info: () => undefined, warn: () => undefined, error: () => undefined};
+/** Delay of a message between instances, and of one with a routing table. */
 const messageMilliseconds = 2;
 const tableMilliseconds = 30;
 
 export type FollowersOptions = {
 	readonly time: VirtualTime;
 	readonly instances: number;
-	/** A change is to be in force everywhere within this. */
+	/** Time within which a change must be in force at every instance. */
 	readonly applyMilliseconds: number;
 	readonly seed: number;
-	/** Whether what one instance sends to another arrives. */
-	readonly arrives?: (from: number, to: number) => boolean;
+	/** Whether messages from one instance to another are delivered; by default all are. */
+	readonly isDelivered?: (from: number, to: number) => boolean;
 };
 
-type Follower = {readonly name: string; readonly beliefs: RoutingState; readonly feeds: FeedFollowers; readonly pull: RoutingTablePuller; readonly told: Map<string, number>};
+type Follower = {readonly name: string; readonly routingState: RoutingState; readonly feeds: FeedFollowers; readonly tablePuller: RoutingTablePuller; readonly peerVersions: Map<string, number>};
 
-/** Instances that follow one store and tell each other, linked as gateways are; all start within a third of a second. */
+/** Instances that follow one store and announce versions to their neighbours, linked as gateways are. All start within 300 ms. */
 export class VirtualFollowers implements AsyncDisposable {
 	readonly store = new VirtualStore();
 	readonly #followers: Follower[] = [];
@@ -40,72 +40,72 @@
 		}
 	}
 
-	/** The versions in force, an instance each. */
+	/** Version in force at each instance. */
 	get versions(): Array<number | undefined> {
-		return this.#followers.map(({beliefs}) => beliefs.table?.version);
+		return this.#followers.map(({routingState}) => routingState.table?.version);
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
-		for (const {feeds, pull} of this.#followers) {
-			pull[Symbol.dispose]();
+		for (const {feeds, tablePuller} of this.#followers) {
+			tablePuller[Symbol.dispose]();
 			await feeds[Symbol.asyncDispose]();
 		}
 	}
 
 	#start(index: number, member: Member, {members, random}: {members: readonly Member[]; random: () => number}): void {
 		const {time, instances, applyMilliseconds} = this.#options;
-		const beliefs = RoutingState.create(quiet);
+		const routingState = RoutingState.create(silentLogger);
 		const {linked} = neighboursOf(member, members, () => true);
-		const told = new Map<string, number>();
-		const pull = RoutingTablePuller.create({
-			ownVersion: () => beliefs.table?.version,
-			holders: () => [...told].map(([name, version]) => ({instance: name, version, requestTable: () => {
-				this.#ask(index, name);
+		const peerVersions = new Map<string, number>();
+		const tablePuller = RoutingTablePuller.create({
+			ownVersion: () => routingState.table?.version,
+			holders: () => [...peerVersions].map(([name, version]) => ({instance: name, version, requestTable: () => {
+				this.#requestTable(index, name);
 			}})),
-			logger: quiet,
+			logger: silentLogger,
 			onStaleTable() {
 				feeds.routing.abortLongPoll();
 			},
 		});
-		beliefs.onChange(change => {
+		routingState.onChange(change => {
 			if (change.type === 'table') {
-				this.#tell(index, linked, change.input.version);
+				this.#announceVersion(index, linked, change.input.version);
 			}
 		});
 		const feeds = followFeeds(new VirtualClient(this.store, time).feeds(), {
-			routingState: beliefs, drainMilliseconds: applyMilliseconds, applyMilliseconds, logger: quiet, random, onEra: () => undefined,
+			routingState, drainMilliseconds: applyMilliseconds, applyMilliseconds, logger: silentLogger, random, onEra: () => undefined,
 			peers: {view: {links: linked.size, instances}, addPeers: () => undefined, removePeer: () => undefined},
 		});
-		this.#followers.push({name: member.name, beliefs, feeds, pull, told});
+		this.#followers.push({name: member.name, routingState, feeds, tablePuller, peerVersions});
 	}
 
-	#tell(from: number, linked: ReadonlySet<string>, version: number): void {
+	#announceVersion(from: number, linked: ReadonlySet<string>, version: number): void {
 		for (const name of linked) {
-			this.#send({from, to: name, milliseconds: messageMilliseconds}, ({told, pull}) => {
-				told.set(`front-${from}`, version);
-				pull.handlePeerVersion();
+			this.#send({from, to: name, milliseconds: messageMilliseconds}, ({peerVersions, tablePuller}) => {
+				peerVersions.set(`front-${from}`, version);
+				tablePuller.handlePeerVersion();
 			});
 		}
 	}
 
-	#ask(from: number, holder: string): void {
-		this.#send({from, to: holder, milliseconds: messageMilliseconds}, ({beliefs}) => {
-			const input = beliefs.tableInput!;
-			this.#send({from: Number(holder.split('-')[1]), to: `front-${from}`, milliseconds: tableMilliseconds}, asker => {
-				asker.beliefs.applyTable(input, `instance ${holder}`);
+	#requestTable(from: number, holder: string): void {
+		this.#send({from, to: holder, milliseconds: messageMilliseconds}, ({routingState}) => {
+			const input = routingState.tableInput!;
+			this.#send({from: Number(holder.split('-')[1]), to: `front-${from}`, milliseconds: tableMilliseconds}, requester => {
+				requester.routingState.applyTable(input, `instance ${holder}`);
 			});
 		});
 	}
 
-	#send({from, to, milliseconds}: {from: number; to: string; milliseconds: number}, act: (follower: Follower) => void): void {
-		if (this.#options.arrives?.(from, Number(to.split('-')[1])) === false) {
+	#send({from, to, milliseconds}: {from: number; to: string; milliseconds: number}, deliver: (follower: Follower) => void): void {
+		if (this.#options.isDelivered?.(from, Number(to.split('-')[1])) === false) {
 			return;
 		}
 
 		this.#options.time.after(milliseconds, () => {
 			const follower = this.#followers.find(({name}) => name === to);
 			if (follower !== undefined) {
-				act(follower);
+				deliver(follower);
 			}
 		});
 	}
--- a/test/gateway/virtual-store.ts
+++ b/test/gateway/virtual-store.ts
@@ -4,40 +4,43 @@
 import {type RoutingTableInput} from '../../src/routing/index.js';
 import {type VirtualTime} from './virtual-time.js';
 
-/** The store answers after so long, and a call without an answer is given up so long after the wait that it asked for. */
-const answerMilliseconds = 4;
-const limitMilliseconds = 900;
+/** Response time of the store, and the time beyond the requested wait after which a call without a response times out. */
+const responseMilliseconds = 4;
+const callTimeoutMilliseconds = 900;
 
-/** How the store fails: it says nothing, or it refuses at once. */
+/** How the store fails: it does not respond, or it refuses at once. */
 export type StoreFailure = 'silent' | 'refusing';
 
-/** The store as followers see it: versions of the routing table, long readings, moments without an answer, and eras. */
+/**
+ * The store as followers see it: versions of the routing table, long polls, times without a response, and eras. The era is the
+ * generation number of the store's log and rises when the store is restored from a backup.
+ */
 export class VirtualStore {
 	calls = 0;
 	failure: StoreFailure | undefined;
 	era = 1;
-	/** How often connections that stood have gone silent. */
-	mutes = 0;
+	/** How often the established connections have stalled. */
+	stallCount = 0;
 	readonly #versions: number[] = [1];
-	readonly #waiting = new Set<() => void>();
+	readonly #longPolls = new Set<() => void>();
 
 	write(version: number): void {
 		this.#versions.push(version);
-		for (const wake of this.failure === undefined ? this.#waiting : []) {
+		for (const wake of this.failure === undefined ? this.#longPolls : []) {
 			wake();
 		}
 	}
 
-	/** Nothing comes on any connection that stands, though new ones work. */
-	muteConnections(): void {
-		this.mutes += 1;
-		this.#waiting.clear();
+	/** No established connection receives anything any more; new connections work. */
+	stallConnections(): void {
+		this.stallCount += 1;
+		this.#longPolls.clear();
 	}
 
-	/** What still waits gets nothing any more. */
+	/** Starts a failure. Long polls in progress get no response. */
 	fail(failure: StoreFailure): void {
 		this.failure = failure;
-		this.muteConnections();
+		this.stallConnections();
 	}
 
 	recover(isNewEra = false): void {
@@ -45,42 +48,42 @@
 		this.era += isNewEra ? 1 : 0;
 	}
 
-	/** What of the versions stands from an offset on. */
-	pageOf(from: LogPosition): FeedReading<RoutingTableInput> {
+	/** The versions from a position on. */
+	readChanges(from: LogPosition): FeedReading<RoutingTableInput> {
 		return this.era > from.era
 			? {type: 'new-era', era: this.era}
-			: {type: 'page', page: {items: this.#versions.slice(from.offset).map(version => tableOf(version)), next: this.end}};
+			: {type: 'page', page: {items: this.#versions.slice(from.offset).map(version => createTable(version)), next: this.end}};
 	}
 
 	get end(): LogPosition {
 		return {era: this.era, offset: this.#versions.length};
 	}
 
-	/** The newest version alone. */
-	newest(): {items: RoutingTableInput[]; next: LogPosition} {
-		return {items: [tableOf(this.#versions.at(-1)!)], next: this.end};
+	/** The newest version only. */
+	readSnapshot(): {items: RoutingTableInput[]; next: LogPosition} {
+		return {items: [createTable(this.#versions.at(-1)!)], next: this.end};
 	}
 
-	/** Wakes a reading at the next version, unless its connection says nothing any more; returns what forgets it. */
-	onWrite(wake: () => void): {readonly isHeard: () => boolean; readonly forget: () => void} {
-		this.#waiting.add(wake);
+	/** Calls `wake` at the next version, unless the connection stalls before. */
+	startLongPoll(wake: () => void): {readonly isPending: () => boolean; readonly cancel: () => void} {
+		this.#longPolls.add(wake);
 		return {
-			isHeard: () => this.#waiting.has(wake),
-			forget: () => {
-				this.#waiting.delete(wake);
+			isPending: () => this.#longPolls.has(wake),
+			cancel: () => {
+				this.#longPolls.delete(wake);
 			},
 		};
 	}
 }
 
-/** One instance's client: it notices a newer era at the first answer of any call, and gives up what still waits. */
+/** The client of one instance. It detects a newer era by the first response of any call, and then aborts its long polls. */
 export class VirtualClient {
 	readonly #store: VirtualStore;
 	readonly #time: VirtualTime;
 	#era = 1;
-	/** Those that it has met: the first call after one is made on a silent connection. */
-	#mutes = 0;
-	readonly #readings = new Set<() => void>();
+	/** Stalls that this client has detected: its first call after a stall goes out on a stalled connection. */
+	#seenStalls = 0;
+	readonly #longPollAborts = new Set<() => void>();
 	readonly #listeners: Array<(era: number) => void> = [];
 
 	constructor(store: VirtualStore, time: VirtualTime) {
@@ -94,8 +97,8 @@
 			instances: this.#idleFeed('instances'),
 			routing: {
 				...this.#idleFeed('routing'),
-				readSnapshot: async () => this.#call(() => this.#store.newest()),
-				readChanges: async (from, waitMilliseconds, signal) => this.#read({from, waitMilliseconds, signal}),
+				readSnapshot: async () => this.#call(() => this.#store.readSnapshot()),
+				readChanges: async (from, waitMilliseconds, signal) => this.#readChanges({from, waitMilliseconds, signal}),
 			},
 		};
 	}
@@ -113,10 +116,10 @@
 
 	async #call<Value>(read: () => Value): Promise<Value> {
 		this.#store.calls += 1;
-		const failure = this.#store.failure ?? (this.#mutes < this.#store.mutes ? 'silent' : undefined);
-		this.#mutes = this.#store.mutes;
+		const failure = this.#store.failure ?? (this.#seenStalls < this.#store.stallCount ? 'silent' : undefined);
+		this.#seenStalls = this.#store.stallCount;
 		return new Promise((resolve, reject) => {
-			this.#time.after(failure === 'silent' ? limitMilliseconds : answerMilliseconds, () => {
+			this.#time.after(failure === 'silent' ? callTimeoutMilliseconds : responseMilliseconds, () => {
 				switch (failure) {
 					case 'silent': {
 						reject(PlatformError.create({type: 'lost', reason: 'no answer'}));
@@ -130,21 +133,21 @@
 
 					case undefined: {
 						resolve(read());
-						this.#noteEra();
+						this.#checkEra();
 					}
 				}
 			});
 		});
 	}
 
-	#noteEra(): void {
+	#checkEra(): void {
 		if (this.#store.era === this.#era) {
 			return;
 		}
 
 		this.#era = this.#store.era;
-		for (const giveUp of this.#readings) {
-			giveUp();
+		for (const abort of this.#longPollAborts) {
+			abort();
 		}
 
 		for (const listener of this.#listeners) {
@@ -152,49 +155,49 @@
 		}
 	}
 
-	async #read({from, waitMilliseconds, signal}: {from: LogPosition; waitMilliseconds: number; signal: AbortSignal | undefined}): Promise<FeedReading<RoutingTableInput>> {
+	async #readChanges({from, waitMilliseconds, signal}: {from: LogPosition; waitMilliseconds: number; signal: AbortSignal | undefined}): Promise<FeedReading<RoutingTableInput>> {
 		const store = this.#store;
-		if (store.failure !== undefined || this.#mutes < store.mutes || store.era > from.era || from.offset < store.end.offset || waitMilliseconds === 0) {
-			return this.#call(() => store.pageOf(from));
+		if (store.failure !== undefined || this.#seenStalls < store.stallCount || store.era > from.era || from.offset < store.end.offset || waitMilliseconds === 0) {
+			return this.#call(() => store.readChanges(from));
 		}
 
 		store.calls += 1;
 		return new Promise((resolve, reject) => {
-			const answer = (): void => {
-				reading.forget();
-				this.#time.after(answerMilliseconds, () => {
-					resolve(store.pageOf(from));
+			const respond = (): void => {
+				longPoll.cancel();
+				this.#time.after(responseMilliseconds, () => {
+					resolve(store.readChanges(from));
 				});
 			};
 
-			const giveUp = (result: FeedReading<RoutingTableInput>): void => {
-				reading.forget();
+			const finish = (result: FeedReading<RoutingTableInput>): void => {
+				longPoll.cancel();
 				resolve(result);
 			};
 
-			const reading = store.onWrite(answer);
-			const onEra = (): void => {
-				giveUp({type: 'new-era', era: store.era});
+			const longPoll = store.startLongPoll(respond);
+			const abortOnNewEra = (): void => {
+				finish({type: 'new-era', era: store.era});
 			};
 
-			this.#readings.add(onEra);
+			this.#longPollAborts.add(abortOnNewEra);
 			this.#time.after(waitMilliseconds, () => {
-				if (reading.isHeard()) {
-					answer();
+				if (longPoll.isPending()) {
+					respond();
 				}
 			});
-			this.#time.after(waitMilliseconds + limitMilliseconds, () => {
-				this.#readings.delete(onEra);
+			this.#time.after(waitMilliseconds + callTimeoutMilliseconds, () => {
+				this.#longPollAborts.delete(abortOnNewEra);
 				reject(PlatformError.create({type: 'lost', reason: 'no answer'}));
 			});
 			signal?.addEventListener('abort', () => {
-				giveUp({type: 'given-up'});
+				finish({type: 'given-up'});
 			});
 		});
 	}
 }
 
-/** A table of a version; nothing else of it matters here. */
-function tableOf(version: number): RoutingTableInput {
+/** A routing table of this version, otherwise empty. */
+function createTable(version: number): RoutingTableInput {
 	return {version, routes: [], services: [], limits: {headerBytes: 1, bodyBytes: 1, headerMilliseconds: 1, idleMilliseconds: 1}};
 }
--- a/test/gateway/virtual-time.ts
+++ b/test/gateway/virtual-time.ts
@@ -1,11 +1,11 @@
-/** A processor of its own: what it runs takes time, in which nothing else of it runs. */
+/** A simulated processor. Its tasks take time and run one after the other. */
 export type Processor = {freeAt: number};
 
-type Timer = {at: number; readonly every: number | undefined; readonly order: number; readonly processor: Processor | undefined; readonly act: () => void};
+type Timer = {at: number; readonly intervalMilliseconds: number | undefined; readonly order: number; readonly processor: Processor | undefined; readonly task: () => void};
 
 /**
- * Timers and the monotonic clock of this process, moved by hand. Real time comes back when it is disposed. Whatever is timed
- * by code of a processor belongs to it, and comes late while that is busy.
+ * Replaces the timers and the monotonic clock of this process by virtual ones, until it is disposed. A timer set by a task of a
+ * processor runs on that processor, and late if the processor is busy.
  */
 export class VirtualTime implements Disposable {
 	static install(): VirtualTime {
@@ -16,7 +16,7 @@
 	#order = 0;
 	#processor: Processor | undefined;
 	readonly #timers = new Map<number, Timer>();
-	/** All timers, the first due at the root. */
+	/** Binary heap of all timers, ordered by due time. */
 	readonly #heap: Timer[] = [];
 	readonly #real = {
 		setTimeout: globalThis.setTimeout, clearTimeout: globalThis.clearTimeout, setInterval: globalThis.setInterval, clearInterval: globalThis.clearInterval,
@@ -29,9 +29,9 @@
 		};
 
 		Object.assign(globalThis, {
-			// As Node's, which knows no part of a millisecond: a wait for the rest of one would come to nothing by rounding.
-			setTimeout: (act: () => void, milliseconds = 0) => this.#add(act, {milliseconds: milliseconds > 0 ? Math.max(1, milliseconds) : 0, processor: this.#processor}),
-			setInterval: (act: () => void, milliseconds = 1) => this.#add(act, {milliseconds, every: Math.max(1, milliseconds), processor: this.#processor}),
+			// Node's timers have a resolution of one millisecond: a shorter delay must not round to zero.
+			setTimeout: (task: () => void, milliseconds = 0) => this.#add(task, {milliseconds: milliseconds > 0 ? Math.max(1, milliseconds) : 0, processor: this.#processor}),
+			setInterval: (task: () => void, milliseconds = 1) => this.#add(task, {milliseconds, intervalMilliseconds: Math.max(1, milliseconds), processor: this.#processor}),
 			clearTimeout: clear,
 			clearInterval: clear,
 		});
@@ -46,12 +46,12 @@
 		Reflect.deleteProperty(performance, 'now');
 	}
 
-	/** Runs all timers that are due until then, in their order. */
+	/** Runs all timers that are due within this time, in order. */
 	runFor(milliseconds: number): void {
 		this.#runUntil(this.#now + milliseconds);
 	}
 
-	/** As `runFor`, for code that goes on by promises and channels: whatever a timer has set off is done before the next one is due. */
+	/** Like `runFor`, for code that continues by promises and channels: what a timer triggers completes before the next timer runs. */
 	async settleFor(milliseconds: number): Promise<void> {
 		const end = this.#now + milliseconds;
 		await settled();
@@ -63,30 +63,30 @@
 		this.#runUntil(end);
 	}
 
-	/** Acts on a processor, as soon as that is free. */
-	on(processor: Processor, act: () => void): void {
-		this.#add(act, {milliseconds: 0, processor});
+	/** Runs a task on a processor as soon as the processor is free. */
+	runOnProcessor(processor: Processor, task: () => void): void {
+		this.#add(task, {milliseconds: 0, processor});
 	}
 
-	/** Acts now on no processor, whoever asks. */
-	outside(act: () => void): void {
-		this.#add(act, {milliseconds: 0, processor: undefined});
+	/** Runs a task now that belongs to no processor, even if a processor's task calls this. */
+	runOffProcessor(task: () => void): void {
+		this.#add(task, {milliseconds: 0, processor: undefined});
 	}
 
-	/** What runs now takes so long. */
+	/** Advances the clock by the time that the running task takes. */
 	spend(milliseconds: number): void {
 		this.#now += milliseconds;
 	}
 
-	/** Acts after so long. */
-	after(milliseconds: number, act: () => void): void {
-		this.#add(act, {milliseconds, processor: this.#processor});
+	/** Runs a task after a delay, on the current processor if there is one. */
+	after(milliseconds: number, task: () => void): void {
+		this.#add(task, {milliseconds, processor: this.#processor});
 	}
 
 	#runUntil(end: number): void {
 		for (let next = this.#next(); next !== undefined && next.at <= end; next = this.#next()) {
 			this.#pop();
-			const {processor, every} = next;
+			const {processor, intervalMilliseconds} = next;
 			if (processor !== undefined && processor.freeAt > next.at) {
 				next.at = processor.freeAt;
 				this.#push(next);
@@ -94,13 +94,13 @@
 			}
 
 			this.#now = next.at;
-			if (every === undefined) {
+			if (intervalMilliseconds === undefined) {
 				this.#timers.delete(next.order);
 			}
 
 			this.#run(next);
-			if (every !== undefined) {
-				next.at = Math.max(next.at, processor?.freeAt ?? 0) + every;
+			if (intervalMilliseconds !== undefined) {
+				next.at = Math.max(next.at, processor?.freeAt ?? 0) + intervalMilliseconds;
 				this.#push(next);
 			}
 		}
@@ -108,11 +108,11 @@
 		this.#now = end;
 	}
 
-	/** Runs a timer; the clock goes back to where it was for the other processors. */
-	#run({processor, act}: Timer): void {
+	/** Runs a timer. A processor's timer then resets the clock, since time spent on one processor does not pass on the others. */
+	#run({processor, task}: Timer): void {
 		const before = this.#now;
 		this.#processor = processor;
-		act();
+		task();
 		this.#processor = undefined;
 		if (processor !== undefined) {
 			processor.freeAt = this.#now;
@@ -120,15 +120,15 @@
 		}
 	}
 
-	#add(act: () => void, {milliseconds, every, processor}: {milliseconds: number; every?: number; processor: Processor | undefined}): number {
+	#add(task: () => void, {milliseconds, intervalMilliseconds, processor}: {milliseconds: number; intervalMilliseconds?: number; processor: Processor | undefined}): number {
 		this.#order += 1;
-		const timer = {at: this.#now + Math.max(0, milliseconds), every, order: this.#order, processor, act};
+		const timer = {at: this.#now + Math.max(0, milliseconds), intervalMilliseconds, order: this.#order, processor, task};
 		this.#timers.set(this.#order, timer);
 		this.#push(timer);
 		return this.#order;
 	}
 
-	/** The first timer that is due; those that were cleared are passed over. */
+	/** Returns the next timer that is due, and removes cleared ones from the heap. */
 	#next(): Timer | undefined {
 		for (let first = this.#heap[0]; first !== undefined; first = this.#heap[0]) {
 			if (this.#timers.get(first.order) === first) {
@@ -174,11 +174,11 @@
 	}
 }
 
-/** Turns of the loop in which promises and channels pass on what they hold; a chain of them takes a few. */
-const turns = 4;
+/** Turns of the event loop until a chain of promises and channels has settled. */
+const settleTurns = 4;
 
 async function settled(): Promise<void> {
-	for (let turn = 0; turn < turns; turn++) {
+	for (let turn = 0; turn < settleTurns; turn++) {
 		await new Promise<void>(resolve => {
 			setImmediate(resolve);
 		});
