--- a/test/gateway/silent-store.test.ts
+++ b/test/gateway/silent-store.test.ts
@@ -6,8 +6,11 @@
 
 /** Time within which the operator's change must be in force everywhere, by the number of instances. */
 const deployments = [
-	{instances: 1, applyMilliseconds: 2000}, {instances: 2, applyMilliseconds: 2000}, {instances: 7, applyMilliseconds: 2000},
-	{instances: 33, applyMilliseconds: 3000}, {instances: 68, applyMilliseconds: 3000},
+	{instances: 1, applyMilliseconds: 2000},
+	{instances: 2, applyMilliseconds: 2000},
+	{instances: 7, applyMilliseconds: 2000},
+	{instances: 33, applyMilliseconds: 3000},
+	{instances: 68, applyMilliseconds: 3000},
 ] as const;
 /** Number of seeds for each case; runs with many instances take long. */
 const seedCounts = {few: 6, many: 3};
