--- a/test/adapter/adapter.test.ts
+++ b/test/adapter/adapter.test.ts
@@ -16,7 +16,7 @@
 import {desiredState} from '../../fakes/platform-state.js';
 import {hash32} from '../../src/policy/hashing/index.js';
 
-const quiet = {debug: () => undefined, info: () => undefined, warn: () => undefined, error: () => undefined};
+const silentLogger = {debug: () => undefined, info: () => undefined, warn: () => undefined, error: () => undefined};
 
 const route: Route = {
 	name: 'r', host: 'a.example', pathPrefix: '/x/', kind: RouteKind.stream, resumable: false, shares: [{service: 's', weight: 1}], timeoutMilliseconds: 1000,
@@ -28,14 +28,14 @@
 	const headers = new Map<string, string>();
 	for (let index = 0; index < sent.length; index += 2) {
 		const name = sent[index]!.toLowerCase();
-		tap.notOk(headers.has(name), `${name} stands once`);
+		tap.notOk(headers.has(name), `${name} occurs once`);
 		headers.set(name, sent[index + 1]!);
 	}
 
 	return headers;
 }
 
-tap.test('what a caller says is read once, and what is malformed is named', async t => {
+tap.test('request headers are decoded, and malformed ones are rejected by name', async t => {
 	const read = requestCodec.readRequest({'request-id': 'a', 'deadline-ms': '250.5', authorization: 'Bearer k', 'prefix-hash': '5c:800,91:410', 'token-usage': '1210,80', 'length-hint': '40'});
 	t.same(read, {type: 'facts', facts: {id: 'a', deadlineMilliseconds: 250.5, key: 'k', parts: [{id: hash32('5c'), tokens: 800}, {id: hash32('91'), tokens: 410}], outputTokens: 40}});
 	t.match(requestCodec.readRequest({}), {type: 'wrong', message: /Request-Id/v});
@@ -43,7 +43,7 @@
 	t.match(requestCodec.readRequest({'request-id': 'a', 'prefix-hash': 'zz,:,1:x'}), {type: 'facts', facts: {parts: []}});
 });
 
-tap.test('no text makes reading a request throw', async t => {
+tap.test('no header value makes decoding a request throw', async t => {
 	const name = fc.constantFrom('request-id', 'deadline-ms', 'authorization', 'prefix-hash', 'token-usage', 'length-hint');
 	fc.assert(fc.property(fc.dictionary(name, fc.string()), headers => {
 		const read = requestCodec.readRequest(headers);
@@ -52,38 +52,38 @@
 	t.pass();
 });
 
-tap.test('a caller can set nothing that is ours, nor pass what concerns its connection', async t => {
-	const mine = ['Tenant', 'Target-Instance', 'Kv-From', 'Kv-Hold', 'Kv-Backup', 'Pin-Ms', 'Authorization', 'Connection', 'Keep-Alive', 'Transfer-Encoding', 'X-Hop', 'Content-Length'];
-	const sent = forward([...mine.flatMap(name => [name, name === 'Connection' ? 'close, X-Hop' : 'forged']), 'Deadline-Ms', '9999', 'Request-Priority', '0', 'X-Kept', 'yes', 'Model', 'm']);
+tap.test('headers of the gateway and hop-by-hop headers of the caller are not forwarded', async t => {
+	const ownHeaders = ['Tenant', 'Target-Instance', 'Kv-From', 'Kv-Hold', 'Kv-Backup', 'Pin-Ms', 'Authorization', 'Connection', 'Keep-Alive', 'Transfer-Encoding', 'X-Hop', 'Content-Length'];
+	const sent = forward([...ownHeaders.flatMap(name => [name, name === 'Connection' ? 'close, X-Hop' : 'forged']), 'Deadline-Ms', '9999', 'Request-Priority', '0', 'X-Kept', 'yes', 'Model', 'm']);
 	t.equal(sent.get('x-kept'), 'yes');
 	t.equal(sent.get('model'), 'm');
 	t.equal(sent.get('deadline-ms'), '70');
 	t.equal(sent.get('target-instance'), 'e');
-	t.equal(sent.get('request-priority'), '9', 'the least urgent rank a worker knows');
+	t.equal(sent.get('request-priority'), '9', 'the lowest priority of a worker');
 	t.equal(sent.get('content-length'), '3');
 	for (const name of ['tenant', 'kv-from', 'kv-hold', 'kv-backup', 'pin-ms', 'authorization', 'connection', 'keep-alive', 'transfer-encoding', 'x-hop']) {
 		t.notOk(sent.has(name), name);
 	}
 });
 
-tap.test('a resumed stream names the last event once', async t => {
+tap.test('a resumed stream has a single Last-Event-Id header', async t => {
 	t.equal(forward(['Last-Event-Id', '2'], '5').get('last-event-id'), '5');
 	t.equal(forward(['Last-Event-Id', '2']).get('last-event-id'), '2');
 });
 
-tap.test('a success without signature, id or with an encoding is not the worker\'s', async t => {
-	const whole = {'request-id': 'a', 'upstream-signature': 's'};
-	t.ok(requestCodec.readResponse(200, whole).isGenuine);
+tap.test('a success response with an encoding, or without a signature or id, is not genuine', async t => {
+	const complete = {'request-id': 'a', 'upstream-signature': 's'};
+	t.ok(requestCodec.readResponse(200, complete).isGenuine);
 	t.notOk(requestCodec.readResponse(200, {'request-id': 'a'}).isGenuine);
 	t.notOk(requestCodec.readResponse(200, {'upstream-signature': 's'}).isGenuine);
-	t.notOk(requestCodec.readResponse(200, {...whole, 'content-encoding': 'gzip'}).isGenuine);
+	t.notOk(requestCodec.readResponse(200, {...complete, 'content-encoding': 'gzip'}).isGenuine);
 	t.match(requestCodec.readResponse(503, {'not-executed': '1'}), {isNotRun: true, promisesNotRun: false});
-	t.match(requestCodec.readResponse(503, whole), {isNotRun: false, promisesNotRun: true});
+	t.match(requestCodec.readResponse(503, complete), {isNotRun: false, promisesNotRun: true});
 	t.match(requestCodec.readResponse(421, {}), {isNotRun: true, isMisdirected: true});
-	t.match(requestCodec.readResponse(500, whole), {isNotRun: false, promisesNotRun: false});
+	t.match(requestCodec.readResponse(500, complete), {isNotRun: false, promisesNotRun: false});
 });
 
-tap.test('a desired state becomes a routing table that survives the way between instances', async t => {
+tap.test('a desired state becomes a routing table, which stays equal when an instance sends it to another', async t => {
 	const table = decodeDesiredState(JSON.stringify({...desiredState(7), unknown: {new: 'field'}}));
 	t.equal(table.version, 7);
 	t.match(table.routes.find(({name}) => name === 'chart'), {kind: 'stream', resumable: true, longestPauseMilliseconds: 200, shares: [{service: 'models', weight: 1}]});
@@ -92,11 +92,11 @@
 	t.match(arrived.findRoute('studio.example', '/chart/1'), table.routes.find(({name}) => name === 'chart')!);
 	t.throws(() => decodeDesiredState('{"version": 1}'), /routes/v);
 	t.throws(() => decodeDesiredState('not json'));
-	const [odd] = decodeDesiredState(JSON.stringify(desiredState(1, {routes: [{...(desiredState(1).routes as Array<Record<string, unknown>>)[0], kind: 'novel'}]}))).routes;
-	t.equal(odd?.kind, 'unsafe', 'a kind that is unknown may run only once');
+	const [unknownKind] = decodeDesiredState(JSON.stringify(desiredState(1, {routes: [{...(desiredState(1).routes as Array<Record<string, unknown>>)[0], kind: 'novel'}]}))).routes;
+	t.equal(unknownKind?.kind, 'unsafe', 'requests of an unknown kind run at most once');
 });
 
-tap.test('records of workers and instances are decoded, or refused with what is wrong', async t => {
+tap.test('records of workers and instances are decoded, or rejected with an error that names the fault', async t => {
 	const value = JSON.stringify({service: 's', address: '1.2.3.4:5', zone: 'z', slots: 6, state: 'draining', seq: 4, more: 1});
 	t.match(decodeServer({key: 'i', value, era: 0, offset: 9}), {type: 'registered', offset: 9, record: {id: 'i', isLeaving: true, revision: 4, slots: 6}});
 	t.same(decodeServer({key: 'i', value: undefined, era: 0, offset: 9}), {type: 'removed', era: 0, offset: 9, id: 'i'});
@@ -106,7 +106,7 @@
 	t.same(decodeInstance({key: 'a', value: undefined, era: 0, offset: 1}), {instance: 'a', record: undefined});
 });
 
-tap.test('records pass the store\'s framing unchanged, and cut ones are refused', async t => {
+tap.test('records are unchanged by the store\'s framing, and truncated ones are rejected', async t => {
 	const text = fc.string({maxLength: 40}).filter(part => Buffer.byteLength(part) < 200);
 	fc.assert(fc.property(fc.array(fc.tuple(text, fc.option(text.filter(part => part !== ''), {nil: undefined}))), fc.nat(1000), (records, from) => {
 		const head = Buffer.alloc(16);
@@ -116,16 +116,16 @@
 		return decoded.end === from + records.length
 			&& decoded.records.every((record, index) => record.key === records[index]![0] && record.value === records[index]![1] && record.offset === from + index && record.era === 2);
 	}), {seed: 4, numRuns: 200});
-	const whole = Buffer.concat([Buffer.alloc(16), encodeRecord('k', 'value')]);
-	t.throws(() => decodeRecords(whole.subarray(0, -1), {era: 0, offset: 0}), /cut off/v);
+	const framed = Buffer.concat([Buffer.alloc(16), encodeRecord('k', 'value')]);
+	t.throws(() => decodeRecords(framed.subarray(0, -1), {era: 0, offset: 0}), /truncated/v);
 });
 
-tap.test('the store\'s failures are told apart', async t => {
+tap.test('each failure of the store has its own error type', async t => {
 	await using store = await FakePlatformStore.create();
-	await using client = StoreClient.create(store.address, quiet);
-	const failure = async (asked = client): Promise<string> => {
+	await using client = StoreClient.create(store.address, silentLogger);
+	const failure = async (failing = client): Promise<string> => {
 		try {
-			await asked.readNewest('keyed.op');
+			await failing.readNewest('keyed.op');
 			return 'none';
 		} catch (error) {
 			return error instanceof PlatformError ? error.failure.type : String(error);
@@ -138,14 +138,14 @@
 	store.fault = () => 'reset';
 	t.equal(await failure(), 'lost');
 	store.fault = () => 'silent';
-	t.equal(await failure(), 'lost', 'a silent connection shows by our own time limit');
-	await using nobody = StoreClient.create('127.0.0.1:1', quiet);
-	t.equal(await failure(nobody), 'unreachable');
+	t.equal(await failure(), 'lost', 'a silent connection ends at the timeout');
+	await using unreachableClient = StoreClient.create('127.0.0.1:1', silentLogger);
+	t.equal(await failure(unreachableClient), 'unreachable');
 });
 
-tap.test('a lost answer may have written, and writing again changes nothing', async t => {
+tap.test('a write whose response is lost may have taken effect, and repeating it is idempotent', async t => {
 	await using store = await FakePlatformStore.create();
-	await using client = StoreClient.create(store.address, quiet);
+	await using client = StoreClient.create(store.address, silentLogger);
 	store.fault = () => 'lose-answer';
 	await t.rejects(client.put('keyed.mine', 'a', '{"address": "1"}'));
 	store.fault = () => undefined;
@@ -155,9 +155,9 @@
 	t.same(store.keys('keyed.mine'), []);
 });
 
-tap.test('changes follow the newest values; history that is gone shows as such', async t => {
+tap.test('changes continue from the snapshot, and history that is no longer retained is reported as gone', async t => {
 	await using store = await FakePlatformStore.create();
-	await using client = StoreClient.create(store.address, quiet);
+	await using client = StoreClient.create(store.address, silentLogger);
 	store.put('keyed.servers', 'a', {service: 's', address: '1.2.3.4:5', zone: 'z', slots: 1, state: 'ready', seq: 1});
 	const newest = await client.readNewest('keyed.servers');
 	t.equal(newest.records.length, 1);
@@ -166,7 +166,7 @@
 	t.match(await waiting, {type: 'page', page: {records: [{key: 'b', era: 1, offset: 1}], next: {era: 1, offset: 2}}});
 	store.forget('keyed.servers');
 	t.same(await client.readChanges('keyed.servers', {era: 1, offset: 0}, {waitMilliseconds: 0}), {type: 'gone'});
-	t.same(await client.readChanges('keyed.servers', {era: 1, offset: 50}, {waitMilliseconds: 0}), {type: 'gone'}, 'an end before what we have read: the history is another one');
+	t.same(await client.readChanges('keyed.servers', {era: 1, offset: 50}, {waitMilliseconds: 0}), {type: 'gone'}, 'the log ends before the requested position: its history was replaced');
 });
 
 /** A logger that keeps its messages. */
@@ -179,9 +179,9 @@
 	return {lines, logger: {debug: log, info: log, warn: log, error: log}};
 }
 
-tap.test('a malformed record is logged and passed over, and the rest is taken', async t => {
+tap.test('a malformed record is logged and skipped, and the others are applied', async t => {
 	await using store = await FakePlatformStore.create();
-	await using client = StoreClient.create(store.address, quiet);
+	await using client = StoreClient.create(store.address, silentLogger);
 	const {lines, logger} = recordLines();
 	store.put('keyed.servers', 'bad', {service: 5});
 	store.put('keyed.servers', 'good', {service: 's', address: '1.2.3.4:5', zone: 'z', slots: 1, state: 'ready', seq: 1});
@@ -195,10 +195,10 @@
 
 const wellFormed = {service: 's', address: '1.2.3.4:5', zone: 'z', slots: 4, state: 'ready', seq: 3, born: 1000};
 
-// Another program writes to the same topics: fields are missing, of another type, or the bytes are no text. Taken with
-// defaults, such a record became an endpoint that nobody runs, and requests were sent to it; thrown out of the feed,
-// it kept all its neighbours from being read. It names no endpoint, its neighbours hold, and one line tells.
-tap.test('records by other writers name no endpoint and lose no neighbour', async t => {
+// Another program writes to the same topics: fields are missing or of another type, or the bytes are not text. With
+// defaults, such a record would become an endpoint that does not exist, and requests would be sent to it; an error thrown
+// out of the feed would keep all other records from being read. Each must be skipped with one log line.
+tap.test('records by other writers create no endpoint and keep no other record from being read', async t => {
 	for (const field of Object.keys(wellFormed).filter(name => name !== 'born')) {
 		const {[field as keyof typeof wellFormed]: _, ...rest} = wellFormed;
 		t.throws(() => decodeServer({key: 'e', value: JSON.stringify(rest), era: 0, offset: 1}), `without ${field}`);
@@ -208,30 +208,30 @@
 	t.throws(() => decodeServer({key: 'e', value: JSON.stringify({...wellFormed, born: 'yesterday'}), era: 0, offset: 1}));
 	t.match(decodeServer({key: 'e', value: JSON.stringify(wellFormed), era: 0, offset: 1}), {type: 'registered', record: {bornAt: 1000}});
 	await using store = await FakePlatformStore.create();
-	await using client = StoreClient.create(store.address, quiet);
+	await using client = StoreClient.create(store.address, silentLogger);
 	const {lines, logger} = recordLines();
 	const value = fc.oneof(fc.jsonValue(), fc.record({service: fc.anything(), address: fc.anything(), state: fc.anything()}).map(record => JSON.stringify(record)));
-	for (const [index, strange] of fc.sample(value, {seed: 8, numRuns: 150}).entries()) {
-		store.put('keyed.servers', `strange-${index}`, strange);
-		store.put('keyed.op', `strange-${index}`, strange);
-		store.put('keyed.cassiaflow-instances', `strange-${index}`, strange);
+	for (const [index, malformedValue] of fc.sample(value, {seed: 8, numRuns: 150}).entries()) {
+		store.put('keyed.servers', `strange-${index}`, malformedValue);
+		store.put('keyed.op', `strange-${index}`, malformedValue);
+		store.put('keyed.cassiaflow-instances', `strange-${index}`, malformedValue);
 	}
 
 	store.put('keyed.servers', 'good', wellFormed);
 	const feeds = [endpointFeed(client, logger), routingFeed(client, logger), instanceFeed(client, logger)] as const;
 	for (const feed of feeds) {
-		const whole = await feed.readSnapshot();
+		const snapshot = await feed.readSnapshot();
 		const changes = await feed.readChanges({era: 1, offset: 0}, 0);
-		t.ok(whole.next.offset > 100, `${feed.name} was read to its end`);
-		t.match(changes, {type: 'page', page: {next: whole.next}});
+		t.ok(snapshot.next.offset > 100, `${feed.name} was read to its end`);
+		t.match(changes, {type: 'page', page: {next: snapshot.next}});
 	}
 
 	const {items} = await feeds[0].readSnapshot();
 	t.match(items, [{type: 'registered', record: {id: 'good'}}]);
 	t.ok(lines.length <= 2 * 151, `${lines.length} lines: one for each key of a feed`);
 	const config = {version: 1, routes: [], services: [], limits: {}, tenants: []};
-	fc.assert(fc.property(fc.constantFrom(...Object.keys(config)), fc.jsonValue(), (field, strange) => {
-		const text = JSON.stringify({...config, [field]: strange});
+	fc.assert(fc.property(fc.constantFrom(...Object.keys(config)), fc.jsonValue(), (field, malformedValue) => {
+		const text = JSON.stringify({...config, [field]: malformedValue});
 		try {
 			decodeDesiredState(text);
 		} catch (error) {
@@ -242,8 +242,8 @@
 	}), {seed: 5, numRuns: 200});
 });
 
-// All instances have lost power, and engines keep prompts of which no instance knows. The list is the engine's own word.
-tap.test('an engine\'s list of kept prompt parts is read, and what is no list is refused', async t => {
+// After a restart of all instances only the engines know which prompt parts they have cached.
+tap.test('an engine\'s list of cached prompt parts is read, and a malformed list is rejected', async t => {
 	let body = JSON.stringify({epoch: 1, next: 5, held: [['', '5c1e07a2', 800, 'm'], ['', '91bd3f06', 410, 'm']]});
 	const server = createServer((request, response) => {
 		response.writeHead(request.url === '/v1/kv-list' ? 200 : 404).end(body);
@@ -253,7 +253,7 @@
 	const address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
 	const parts = await readCachedParts(address);
 	const read = requestCodec.readRequest({'request-id': 'r', 'prefix-hash': '5c1e07a2:800,91bd3f06:410'});
-	t.same(read.type === 'facts' && read.facts.parts, parts, 'the same ids as a request names');
+	t.same(read.type === 'facts' && read.facts.parts, parts, 'the same ids as in the headers of a request');
 	for (const wrong of ['{', '{"held": 5}', '{"held": [["", 5]]}', '[]']) {
 		body = wrong;
 		await t.rejects(readCachedParts(address));
--- a/test/adapter/wire-names.test.ts
+++ b/test/adapter/wire-names.test.ts
@@ -1,7 +1,7 @@
 import {readdirSync, readFileSync} from 'node:fs';
 import tap from 'tap';
 
-/** Names of the users' wire, in any case: headers, fields and paths. Common words that we use too are left out. */
+/** Names of the platform's wire protocol, compared case-insensitively: headers, fields and paths. Common words that src/ uses too are left out. */
 const wireNames = [
 	'Target-Instance',
 	'Upstream-Signature',
@@ -37,8 +37,8 @@
 	'graceS',
 ];
 
-// A wire name outside the adapter would bind the product to one platform's spelling.
-tap.test('the users\' wire names stand only in the adapter', async t => {
+// A wire name outside the adapter would bind the gateway to one platform's spelling.
+tap.test('the platform\'s wire names occur only in the adapter', async t => {
 	const files = readdirSync('src', {recursive: true}).map(String).filter(file => file.endsWith('.ts'));
 	t.ok(files.length > 100);
 	for (const file of files) {
@@ -47,12 +47,12 @@
 	}
 });
 
-tap.test('the check finds a name where there is one', async t => {
+tap.test('the check finds a name in a file that contains one', async t => {
 	const text = readFileSync('platform/request-codec.ts', 'utf8').toLowerCase();
 	t.ok(wireNames.some(name => text.includes(name.toLowerCase())));
 });
 
-tap.test('no folder of the product imports the adapter', async t => {
+tap.test('no file of src imports the adapter', async t => {
 	for (const file of readdirSync('src', {recursive: true}).map(String).filter(name => name.endsWith('.ts'))) {
 		t.notMatch(readFileSync(`src/${file}`, 'utf8'), /from '(?:\.\.\/)+platform\/(?:adapter|feeds|request-codec|store-client|servers|desired-state)/v, file);
 	}
