--- a/src/platform/catalogue-follower.ts
+++ b/src/platform/catalogue-follower.ts
@@ -9,25 +9,26 @@
 import {RecordHistory, type TextRecord} from './record-history.js';
 import {type LogClient, type ReadResult} from './types.js';
 
-/** What `pull` is answered with; the fields of the `records` message. */
-export type RecordsAnswer = {readonly snapshot: boolean; readonly records: readonly TextRecord[]};
+/** Response to `pull`; the fields of the `records` message. */
+export type RecordsResponse = {readonly snapshot: boolean; readonly records: readonly TextRecord[]};
 
-/** One record of the audit trail, as this process has folded it. */
+/** A record of the audit trail and its result in this process's fold. */
 export type AuditEntry = {readonly offset: number; readonly time: number; readonly value: unknown; readonly verdict: RecordVerdict};
 
 export type FollowerTimes = {
-	/** How long the log may hold a read open. Longer costs it less; it answers at once when a record comes. */
+	/** Longest wait of a long poll. The log responds as soon as there is a record, so a longer wait only means fewer calls. */
 	readonly pollMilliseconds: number;
 	readonly firstRetryMilliseconds: number;
 	readonly longestRetryMilliseconds: number;
 	readonly snapshotCheckMilliseconds: number;
-	/** The random wait before a snapshot is written: long enough that one of a thousand readers is first. */
+	/** Upper bound of the random delay before a snapshot is written, so that one of a thousand readers writes before the others. */
 	readonly snapshotSpreadMilliseconds: number;
 };
 
 /**
- * Retries reach five seconds at most, because a change must be in force within five seconds of the
- * log's return. With a thousand readers spread over a minute, one or two write before they see another's.
+ * Retries are at most two seconds apart, because a change must be in force within five seconds after
+ * the log is available again. Of a thousand readers spread over a minute, one or two write a snapshot
+ * before they read another's.
  */
 export const defaultFollowerTimes: FollowerTimes = {
 	pollMilliseconds: 10_000, firstRetryMilliseconds: 100, longestRetryMilliseconds: 2000, snapshotCheckMilliseconds: 5000, snapshotSpreadMilliseconds: 60_000,
@@ -38,9 +39,9 @@
 	readonly instance: string;
 	readonly onAdvance?: (catalogue: Catalogue) => void;
 	readonly onLog?: (message: string) => void;
-	/** A number from 0 up to 1. */
+	/** Returns a number in [0, 1). */
 	readonly random?: () => number;
-	/** Milliseconds since 1970. */
+	/** Returns the time in milliseconds since 1970. */
 	readonly now?: () => number;
 	readonly times?: Partial<FollowerTimes>;
 	readonly snapshots?: SnapshotSettings;
@@ -48,31 +49,31 @@
 
 const readLimit = 500;
 const auditLimit = 200;
-/** A log that answers at once though it has nothing new must not be asked without a pause. */
-const idleMilliseconds = 20;
+/** Pause after a read without new records, so that a log that does not wait is not polled in a busy loop. */
+const emptyReadPauseMilliseconds = 20;
 
 /**
- * Keeps a process's catalogue current: it tails the log, takes records from peers, and writes a
- * snapshot when a reader that starts later would need one. The catalogue's offset only rises.
+ * Keeps a process's catalogue current: it tails the log, applies records from peers, and writes a
+ * snapshot when a reader that starts later would need one. The catalogue's offset never decreases.
  */
 export class CatalogueFollower implements AsyncDisposable {
 	static create(options: FollowerOptions): CatalogueFollower {
 		const follower = new CatalogueFollower(options);
-		follower.#done = [
+		follower.#tasks = [
 			spawn('catalogue-tail', () => follower.#tail()),
 			spawn('catalogue-snapshots', () => follower.#writeSnapshots()),
 		];
 		return follower;
 	}
 
-	/** Settles once this process has a catalogue, from the log or from a peer. */
+	/** Resolves once this process has a catalogue, from the log or from a peer. */
 	readonly ready: Promise<void>;
 	readonly #options: FollowerOptions;
 	readonly #times: FollowerTimes;
 	readonly #abort = new AbortController();
 	readonly #stop: Channel<never> = channel<never>(1);
 	readonly #history = RecordHistory.create();
-	#done: ReadonlyArray<Promise<void>> = [];
+	#tasks: ReadonlyArray<Promise<void>> = [];
 	#catalogue = Catalogue.empty();
 	#snapshots: SnapshotState = {first: 0};
 	#snapshotSeenAt = Number.NEGATIVE_INFINITY;
@@ -80,10 +81,10 @@
 	#resolveReady!: () => void;
 	#isReady = false;
 	/**
-	 * Failure: a reading with a long wait is sent into a log that says nothing. Symptom: it hangs for its whole wait after the log's return.
-	 * In doubt a reading asks for what is there.
+	 * True after a failed read, until one succeeds. Reads then don't wait for new records: a long poll sent to an unresponsive log
+	 * would hang for its whole wait after the log is available again.
 	 */
-	#isDoubted = false;
+	#isLogUnavailable = false;
 
 	private constructor(options: FollowerOptions) {
 		this.#options = options;
@@ -97,18 +98,18 @@
 		return this.#isReady;
 	}
 
-	/** The catalogue as far as this process has read it. */
+	/** The catalogue after the last record that this process has applied. */
 	current(): Catalogue {
 		return this.#catalogue;
 	}
 
-	/** The newest records with their verdicts, oldest first. */
+	/** The newest records with their results, oldest first. */
 	recentAudit(): readonly AuditEntry[] {
 		return this.#audit;
 	}
 
-	/** What a peer that asks for records from `offset` on gets: the records, or the whole catalogue if too many are missing. */
-	recordsFrom(offset: number): RecordsAnswer {
+	/** Response to a peer that pulls records from `offset` on: the records, or a snapshot if that offset is no longer in the history. */
+	recordsFrom(offset: number): RecordsResponse {
 		const records = this.#history.from(offset);
 		if (records) {
 			return {snapshot: false, records};
@@ -118,20 +119,20 @@
 		return {snapshot: true, records: [{offset: this.#catalogue.offset, time: this.#now(), value}]};
 	}
 
-	/** Takes a peer's answer to `pull`. True if the catalogue moved on; records it has seen do nothing. */
-	accept(answer: RecordsAnswer): boolean {
+	/** Applies a peer's response to `pull`. Returns true if the catalogue advanced; records already applied have no effect. */
+	applyPeerRecords(response: RecordsResponse): boolean {
 		const before = this.#catalogue.offset;
-		for (const record of answer.records) {
-			const parsed = {offset: record.offset, time: record.time, value: parseText(record.value)};
-			if (answer.snapshot) {
-				this.#restorePeer(parsed);
+		for (const record of response.records) {
+			const parsed = {offset: record.offset, time: record.time, value: parseJson(record.value)};
+			if (response.snapshot) {
+				this.#restoreFromPeer(parsed);
 			} else {
 				this.#apply(parsed);
 			}
 		}
 
 		if (this.#catalogue.offset > before) {
-			this.#advanced();
+			this.#notifyAdvance();
 			return true;
 		}
 
@@ -141,7 +142,7 @@
 	async [Symbol.asyncDispose](): Promise<void> {
 		this.#abort.abort();
 		this.#stop.close();
-		await Promise.all(this.#done);
+		await Promise.all(this.#tasks);
 	}
 
 	* #tail(): Body<void> {
@@ -156,61 +157,61 @@
 
 			if (result.type === 'records') {
 				retryMilliseconds = this.#times.firstRetryMilliseconds;
-				if (!this.#takeRecords(result)) {
-					yield * receiveWithin(this.#stop, idleMilliseconds);
+				if (!this.#applyRecords(result)) {
+					yield * receiveWithin(this.#stop, emptyReadPauseMilliseconds);
 				}
 
 				continue;
 			}
 
-			if (yield * this.#restart(result.first)) {
+			if (yield * this.#restoreFromLog(result.first)) {
 				continue;
 			}
 
-			this.#log(`catalogue: The log starts at ${result.first} and holds no usable snapshot; waiting for a peer or a snapshot.`);
+			this.#log(`catalogue: The log starts at ${result.first} and has no usable snapshot; waiting for a peer or a snapshot.`);
 			yield * receiveWithin(this.#stop, this.#times.longestRetryMilliseconds);
 		}
 	}
 
-	/** Reads once; undefined if the log can't be reached. */
+	/** Reads a page; undefined if the read failed. */
 	* #read(from: number): Body<ReadResult | undefined> {
 		const {log} = this.#options;
-		const waitMilliseconds = this.#isDoubted ? 0 : this.#times.pollMilliseconds;
+		const waitMilliseconds = this.#isLogUnavailable ? 0 : this.#times.pollMilliseconds;
 		try {
 			const result = yield * wait(log.read(catalogueStream, from, {limit: readLimit, waitMilliseconds, signal: this.#abort.signal}));
-			this.#isDoubted = false;
+			this.#isLogUnavailable = false;
 			return result;
 		} catch (error) {
-			this.#isDoubted = true;
+			this.#isLogUnavailable = true;
 			if (!this.#abort.signal.aborted) {
-				this.#log(`catalogue: The log can't be read: ${String(error)}`);
+				this.#log(`catalogue: Reading the log failed: ${String(error)}`);
 			}
 
 			return undefined;
 		}
 	}
 
-	/** True if the catalogue moved on. */
-	#takeRecords(result: Extract<ReadResult, {type: 'records'}>): boolean {
+	/** Returns true if the catalogue advanced. */
+	#applyRecords(result: Extract<ReadResult, {type: 'records'}>): boolean {
 		this.#snapshots = {...this.#snapshots, first: result.first};
 		const before = this.#catalogue.offset;
 		for (const record of result.records) {
 			this.#apply(record);
 		}
 
-		const complete = this.#catalogue.offset + 1 >= result.next;
-		if (complete) {
+		const isComplete = this.#catalogue.offset + 1 >= result.next;
+		if (isComplete) {
 			this.#becomeReady();
 		}
 
 		if (this.#catalogue.offset > before) {
-			this.#advanced(complete);
+			this.#notifyAdvance(isComplete);
 		}
 
 		return this.#catalogue.offset > before;
 	}
 
-	* #restart(first: number): Body<boolean> {
+	* #restoreFromLog(first: number): Body<boolean> {
 		const located = yield * locateSnapshot(from => this.#read(from), first);
 		if (!located || located.catalogue.offset <= this.#catalogue.offset) {
 			return false;
@@ -227,7 +228,7 @@
 		this.#log(`catalogue: Restored from the snapshot through ${catalogue.offset}.`);
 	}
 
-	#restorePeer(record: StreamRecord): void {
+	#restoreFromPeer(record: StreamRecord): void {
 		const parsed = snapshotSchema.safeParse(record.value);
 		if (!parsed.success || parsed.data.through <= this.#catalogue.offset) {
 			return;
@@ -235,7 +236,7 @@
 
 		this.#catalogue = Catalogue.restore(parsed.data);
 		this.#history.clear();
-		this.#log(`catalogue: Took the catalogue through ${parsed.data.through} from a peer.`);
+		this.#log(`catalogue: Restored from a peer's snapshot through ${parsed.data.through}.`);
 	}
 
 	#apply(record: StreamRecord): void {
@@ -259,8 +260,8 @@
 		}
 	}
 
-	/** A peer's word is a catalogue too: a process that starts while the log is down is ready by it. */
-	#advanced(isCatalogue = true): void {
+	/** Records from a peer suffice for readiness, so that a process can start while the log is unavailable. */
+	#notifyAdvance(isCatalogue = true): void {
 		if (isCatalogue) {
 			this.#becomeReady();
 		}
@@ -290,17 +291,17 @@
 	}
 
 	/**
-	 * Failure: this instance's clock is ahead by hours, so that every snapshot looks old, or the log is
-	 * slow, so that its own is not read back. Symptom: it floods the log. A quarter of the interval by
-	 * its monotonic clock bounds what it writes, and leaves it several tries before retention.
+	 * A quarter of the interval must have passed by the monotonic clock since this instance last read or wrote
+	 * a snapshot, which leaves it several tries before retention. Without this bound it would flood the log if its
+	 * clock is hours ahead, so that every snapshot looks old, or if the log is slow, so that its own is not read back.
 	 */
 	#isDue(): boolean {
 		const settings = this.#options.snapshots ?? defaultSnapshotSettings;
-		const seenRecently = performance.now() - this.#snapshotSeenAt < settings.intervalMilliseconds / 4;
-		return this.#isReady && !seenRecently && isSnapshotDue(this.#catalogue, this.#snapshots, this.#now(), settings);
+		const isSeenRecently = performance.now() - this.#snapshotSeenAt < settings.intervalMilliseconds / 4;
+		return this.#isReady && !isSeenRecently && isSnapshotDue(this.#catalogue, this.#snapshots, this.#now(), settings);
 	}
 
-	/** A lost answer needs no retry of its own: the snapshot is read back, or found due again. */
+	/** A lost response needs no retry: the snapshot is either read back or becomes due again. */
 	* #append(): Body<void> {
 		const {log, instance} = this.#options;
 		this.#snapshotSeenAt = performance.now();
@@ -308,7 +309,7 @@
 			const result = yield * wait(log.append(catalogueStream, this.#catalogue.snapshot(instance)));
 			this.#log(`catalogue: Snapshot through ${this.#catalogue.offset}: ${result.type}.`);
 		} catch (error) {
-			this.#log(`catalogue: The snapshot can't be written: ${String(error)}`);
+			this.#log(`catalogue: Writing the snapshot failed: ${String(error)}`);
 		}
 	}
 
@@ -325,8 +326,8 @@
 	}
 }
 
-/** A text that is no JSON counts as an unknown value, which the fold rejects like any other reader does. */
-function parseText(text: string): unknown {
+/** Returns undefined for text that is not JSON; the fold rejects that value, as in every other reader. */
+function parseJson(text: string): unknown {
 	try {
 		return JSON.parse(text);
 	} catch {
--- a/src/platform/catalogue-peer.ts
+++ b/src/platform/catalogue-peer.ts
@@ -2,9 +2,9 @@
 import {type CatalogueFollower} from './catalogue-follower.js';
 
 /**
- * The part of a conversation between two of our processes that spreads the catalogue. Every hello
- * and heartbeat carries the sender's offset; whoever sees a higher one than its own pulls from
- * there, so a change goes on spreading while the log is down.
+ * Handles the messages by which two connected processes synchronize their catalogues. Every hello and
+ * heartbeat carries the sender's offset; a process that receives a higher offset than its own pulls the
+ * missing records, so changes propagate while the log is unavailable.
  */
 export function handleCatalogueMessage(follower: CatalogueFollower, message: CatalogueMessage, reply: (message: Message) => void): void {
 	switch (message.type) {
@@ -24,13 +24,13 @@
 		}
 
 		case 'records': {
-			follower.accept(message);
+			follower.applyPeerRecords(message);
 			break;
 		}
 	}
 }
 
-/** The messages of that conversation. */
+/** The messages that concern the catalogue. */
 export type CatalogueMessage = MessageOf<'hello' | 'heartbeat' | 'pull' | 'records'>;
 
 function copyRecords(follower: CatalogueFollower, from: number): {snapshot: boolean; records: Array<{offset: number; time: number; value: string}>} {
--- a/src/platform/catalogue-stream.ts
+++ b/src/platform/catalogue-stream.ts
@@ -4,15 +4,15 @@
 import {wait, type Body} from '../concurrency/index.js';
 import {type LogClient, type ReadResult} from './types.js';
 
-/** Reads a page of the catalogue stream; undefined if it can't be had now. */
+/** Reads a page of the catalogue stream; undefined if the read failed. */
 export type PageReader = (from: number) => Body<ReadResult | undefined>;
 
-/** A snapshot to go on from, and the record that carried it. */
+/** A catalogue restored from a snapshot, and the record that held the snapshot. */
 export type LocatedSnapshot = {readonly catalogue: Catalogue; readonly record: StreamRecord};
 
 /**
- * Failure: retention dropped records that this reader has not seen. Symptom: it could never move
- * on. The first snapshot whose following records are all still there is enough to start from.
+ * Finds the first snapshot whose following records are all still retained. A reader needs it when
+ * retention has dropped records that it has not read; without it the reader could not continue.
  */
 export function * locateSnapshot(read: PageReader, first: number): Body<LocatedSnapshot | undefined> {
 	let from = first;
@@ -38,13 +38,13 @@
 	}
 }
 
-/** A record of the stream and what became of it. */
+/** A record of the stream and its result. */
 export type AppliedRecord = StreamRecord & {readonly verdict: RecordVerdict};
 
-/** The whole stream as far as the log has it, folded. */
+/** All retained records of the stream, and the catalogue after the last of them. */
 export type FoldedStream = {readonly catalogue: Catalogue; readonly records: readonly AppliedRecord[]};
 
-/** Reads and folds the catalogue stream to its end, once; throws `PlatformError` while the log is down. */
+/** Reads and folds the catalogue stream to its end, once; throws `PlatformError` while the log is unavailable. */
 export function * readCatalogue(log: LogClient): Body<FoldedStream> {
 	const read: PageReader = function * (from) {
 		return yield * wait(log.read(catalogueStream, from));
@@ -57,7 +57,7 @@
 		if (page.type === 'gone') {
 			const located = yield * locateSnapshot(read, page.first);
 			if (!located || located.catalogue.offset <= catalogue.offset) {
-				throw new Error(`The log starts at ${page.first} and holds no snapshot to start from.`);
+				throw new Error(`The log starts at ${page.first} and has no usable snapshot.`);
 			}
 
 			catalogue = located.catalogue;
--- a/src/platform/connection-watch.ts
+++ b/src/platform/connection-watch.ts
@@ -1,14 +1,14 @@
 import {type ClientRequest} from 'node:http';
 
 /**
- * Tells whether a request's connection has stood. Node writes nothing before that, so a call that
- * failed without one can't have taken effect; after that a lost answer tells nothing.
+ * Tracks whether a request's connection was established. Node writes nothing before that, so a call that
+ * failed without a connection can't have taken effect; a later failure leaves that open.
  *
- * A kept connection stands already and gets no listener: one more with every call would pile up.
+ * A reused keep-alive connection gets no listener, since listeners would accumulate on it with every call.
  */
-export function watchConnection(sent: ClientRequest): {readonly isEstablished: boolean} {
+export function watchConnection(clientRequest: ClientRequest): {readonly isEstablished: boolean} {
 	const watch = {isEstablished: false};
-	sent.once('socket', socket => {
+	clientRequest.once('socket', socket => {
 		watch.isEstablished = !socket.connecting;
 		if (watch.isEstablished) {
 			return;
--- a/src/platform/error.ts
+++ b/src/platform/error.ts
@@ -1,15 +1,15 @@
 /** Why a call to the platform failed, and whether it may have taken effect there. */
 export type PlatformFailure
-	/** No connection came about: the call did not take effect. */
+	/** No connection was established: the call did not take effect. */
 	= | {readonly type: 'unreachable'; readonly reason: string}
-	/** The call left, and no whole answer came back: it may have taken effect. */
+	/** The call was sent, but no complete response arrived: it may have taken effect. */
 		| {readonly type: 'lost'; readonly reason: string}
 	/** An error status: 4xx did not take effect, 5xx may have. */
 		| {readonly type: 'status'; readonly status: number; readonly reason: string; readonly retryAfterMilliseconds?: number}
-	/** An answer that does not follow the published protocol. */
+	/** The response violates the published protocol. */
 		| {readonly type: 'malformed'; readonly reason: string};
 
-/** A failure of the platform on its way up through code that throws. */
+/** Thrown when a call to the platform fails. */
 export class PlatformError extends Error {
 	static create(failure: PlatformFailure): PlatformError {
 		return new PlatformError(failure);
--- a/src/platform/http-caller.ts
+++ b/src/platform/http-caller.ts
@@ -6,7 +6,7 @@
 export type HttpClientSettings = {
 	/** For example `http://10.0.0.7:8080`; a path prefix is kept. */
 	readonly baseUrl: string;
-	/** The longest that one call may take, waits that it asks for not counted. */
+	/** Timeout of one call, without the wait of a long poll. */
 	readonly timeoutMilliseconds: number;
 };
 
@@ -14,22 +14,22 @@
 	readonly method: 'GET' | 'POST';
 	readonly path: string;
 	readonly body?: unknown;
-	/** The version of the answer that the caller holds: an unchanged one comes back as 304 without a body. */
+	/** Entity tag of the response that is already known; the service responds with 304 and no body if it is unchanged. */
 	readonly ifNoneMatch?: string;
 	readonly timeoutMilliseconds?: number;
 	readonly signal?: AbortSignal;
 };
 
-/** `etag` names the version of the answer, if the service keeps versions. */
-export type HttpAnswer = {readonly status: number; readonly body: unknown; readonly etag?: string | undefined};
+/** `etag` is the entity tag of the response, if the service sends one. */
+export type HttpResponse = {readonly status: number; readonly body: unknown; readonly etag?: string | undefined};
 
-const defaultConnections = 16;
-/** More than any page of records: a larger answer is not from a service that keeps the protocol. */
-const maximumAnswerBytes = 64 * 1024 * 1024;
+const maximumConnections = 16;
+/** Larger than any page of records; a larger response violates the protocol. */
+const maximumResponseBytes = 64 * 1024 * 1024;
 
 /**
- * Calls a JSON service over kept connections and says of each failure whether the call may have
- * taken effect there.
+ * Calls a JSON service over keep-alive connections. Failures are thrown as `PlatformError`, which tells
+ * whether the call may have taken effect.
  */
 export class HttpCaller implements AsyncDisposable {
 	static create(settings: HttpClientSettings): HttpCaller {
@@ -37,19 +37,19 @@
 	}
 
 	readonly #settings: HttpClientSettings;
-	readonly #agent = new Agent({keepAlive: true, maxSockets: defaultConnections});
+	readonly #agent = new Agent({keepAlive: true, maxSockets: maximumConnections});
 
 	private constructor(settings: HttpClientSettings) {
 		this.#settings = settings;
 	}
 
-	/** The parsed answer of a call that ended with 200, 304 or 410; anything else throws. */
-	async call(call: HttpCall): Promise<HttpAnswer> {
+	/** Returns the parsed response of a call that ended with 200, 304 or 410; throws on any other status. */
+	async call(call: HttpCall): Promise<HttpResponse> {
 		try {
 			return await this.#callOnce(call);
 		} catch (error) {
-			// The service closed a kept connection while the call was on its way: reading again is harmless.
-			if (call.method === 'GET' && error instanceof PlatformError && error.failure.type === 'lost' && error.failure.reason === staleConnection) {
+			// The service closed a keep-alive connection while the call was in transit. Repeating a read is safe.
+			if (call.method === 'GET' && error instanceof PlatformError && error.failure.type === 'lost' && error.failure.reason === staleConnectionReason) {
 				return this.#callOnce(call);
 			}
 
@@ -61,9 +61,9 @@
 		this.#agent.destroy();
 	}
 
-	async #callOnce(call: HttpCall): Promise<HttpAnswer> {
+	async #callOnce(call: HttpCall): Promise<HttpResponse> {
 		const payload = call.body === undefined ? undefined : JSON.stringify(call.body);
-		const sent = httpRequest(this.#settings.baseUrl.replace(/\/$/v, '') + call.path, {
+		const clientRequest = httpRequest(this.#settings.baseUrl.replace(/\/$/v, '') + call.path, {
 			method: call.method,
 			agent: this.#agent,
 			signal: call.signal,
@@ -71,19 +71,19 @@
 		});
 		const timeoutMilliseconds = call.timeoutMilliseconds ?? this.#settings.timeoutMilliseconds;
 		const timer = setTimeout(() => {
-			sent.destroy(new Error(`no answer within ${timeoutMilliseconds} ms`));
+			clientRequest.destroy(new Error(`no complete response within ${timeoutMilliseconds} ms`));
 		}, timeoutMilliseconds);
 		try {
-			return interpret(await exchange(sent, payload));
+			return parseResponse(await exchange(clientRequest, payload));
 		} finally {
 			clearTimeout(timer);
 		}
 	}
 }
 
-const staleConnection = 'the kept connection was closed';
+const staleConnectionReason = 'the keep-alive connection was closed';
 
-type Answer = {status: number; retryAfter: string | undefined; etag: string | undefined; text: string};
+type RawResponse = {status: number; retryAfter: string | undefined; etag: string | undefined; text: string};
 
 function headersOf(call: HttpCall, payload: string | undefined): Record<string, string | number> {
 	return {
@@ -92,21 +92,21 @@
 	};
 }
 
-function exchange(sent: ClientRequest, payload: string | undefined): Promise<Answer> {
-	return new Promise<Answer>((resolve, reject) => {
-		const connection = watchConnection(sent);
-		sent.on('error', (error: NodeJS.ErrnoException) => {
-			const reason = sent.reusedSocket && error.code === 'ECONNRESET' ? staleConnection : error.message;
+function exchange(clientRequest: ClientRequest, payload: string | undefined): Promise<RawResponse> {
+	return new Promise<RawResponse>((resolve, reject) => {
+		const connection = watchConnection(clientRequest);
+		clientRequest.on('error', (error: NodeJS.ErrnoException) => {
+			const reason = clientRequest.reusedSocket && error.code === 'ECONNRESET' ? staleConnectionReason : error.message;
 			reject(PlatformError.create(connection.isEstablished ? {type: 'lost', reason} : {type: 'unreachable', reason}));
 		});
-		sent.once('response', response => {
+		clientRequest.once('response', response => {
 			readText(response).then(text => {
 				resolve({status: response.statusCode ?? 0, retryAfter: response.headers['retry-after'], etag: response.headers.etag, text});
 			}, (error: unknown) => {
 				reject(PlatformError.create({type: 'lost', reason: String(error)}));
 			});
 		});
-		sent.end(payload);
+		clientRequest.end(payload);
 	});
 }
 
@@ -116,8 +116,8 @@
 	for await (const chunk of response as AsyncIterable<Uint8Array>) {
 		chunks.push(chunk);
 		total += chunk.length;
-		if (total > maximumAnswerBytes) {
-			throw new Error('the answer is too large');
+		if (total > maximumResponseBytes) {
+			throw new Error('the response is too large');
 		}
 	}
 
@@ -127,26 +127,26 @@
 export const statusNotModified = 304;
 const statusGone = 410;
 
-function interpret(answer: Answer): HttpAnswer {
-	if (answer.status === statusNotModified) {
-		return {status: answer.status, body: undefined, etag: answer.etag};
+function parseResponse(response: RawResponse): HttpResponse {
+	if (response.status === statusNotModified) {
+		return {status: response.status, body: undefined, etag: response.etag};
 	}
 
-	const body = parseJson(answer.text);
-	if (answer.status === 200 || answer.status === statusGone) {
+	const body = parseJson(response.text);
+	if (response.status === 200 || response.status === statusGone) {
 		if (body === undefined) {
-			throw PlatformError.create({type: 'malformed', reason: 'the answer is not JSON'});
+			throw PlatformError.create({type: 'malformed', reason: 'the response is not JSON'});
 		}
 
-		return {status: answer.status, body, etag: answer.etag};
+		return {status: response.status, body, etag: response.etag};
 	}
 
-	const seconds = Number(answer.retryAfter);
+	const seconds = Number(response.retryAfter);
 	throw PlatformError.create({
 		type: 'status',
-		status: answer.status,
+		status: response.status,
 		reason: errorMessage(body),
-		...(answer.retryAfter !== undefined && Number.isFinite(seconds) && {retryAfterMilliseconds: seconds * 1000}),
+		...(response.retryAfter !== undefined && Number.isFinite(seconds) && {retryAfterMilliseconds: seconds * 1000}),
 	});
 }
 
--- a/src/platform/index.ts
+++ b/src/platform/index.ts
@@ -1,4 +1,4 @@
-/** Clients of the platform's log, membership list and weight store, and the interfaces they keep. */
+/** Clients of the platform's log, membership list and weight store, and the interfaces that they implement. */
 export type * from './types.js';
 export {PlatformError, type PlatformFailure} from './error.js';
 export type {HttpClientSettings} from './http-caller.js';
@@ -7,7 +7,7 @@
 export {HttpWeightStoreClient} from './weight-store-client.js';
 export {
 	CatalogueFollower, defaultFollowerTimes,
-	type AuditEntry, type FollowerOptions, type FollowerTimes, type RecordsAnswer,
+	type AuditEntry, type FollowerOptions, type FollowerTimes, type RecordsResponse,
 } from './catalogue-follower.js';
 export {readCatalogue, type FoldedStream, type AppliedRecord} from './catalogue-stream.js';
 export {HttpCaller} from './http-caller.js';
--- a/src/platform/log-client.ts
+++ b/src/platform/log-client.ts
@@ -15,7 +15,7 @@
 const firstServerError = 500;
 const defaultLimit = 500;
 
-/** The platform's log over HTTP, as docs/PLATFORM.md gives it. */
+/** The platform's log over HTTP, as specified in docs/PLATFORM.md. */
 export class HttpLogClient implements LogClient, AsyncDisposable {
 	static create(settings: HttpClientSettings): HttpLogClient {
 		return new HttpLogClient(settings);
@@ -29,14 +29,14 @@
 		this.#timeoutMilliseconds = settings.timeoutMilliseconds;
 	}
 
-	/** Never throws: every failure is `refused` (nothing was kept) or `unknown` (only reading tells). */
+	/** Does not throw `PlatformError`: every failure is `refused` (not stored) or `unknown` (only a read shows whether it was stored). */
 	async append(stream: string, value: unknown): Promise<AppendResult> {
 		try {
 			const {body} = await this.#caller.call({method: 'POST', path: recordsPath(stream), body: {value}});
 			const parsed = appendedSchema.safeParse(body);
-			return parsed.success ? {type: 'appended', offset: parsed.data.offset} : {type: 'unknown', reason: 'the answer has no offset'};
+			return parsed.success ? {type: 'appended', offset: parsed.data.offset} : {type: 'unknown', reason: 'the response has no offset'};
 		} catch (error) {
-			return outcomeOfFailure(error);
+			return toAppendResult(error);
 		}
 	}
 
@@ -48,7 +48,7 @@
 			timeoutMilliseconds: this.#timeoutMilliseconds + wait,
 			signal: options.signal,
 		});
-		return status === statusGone ? {type: 'gone', ...parse(goneSchema, body)} : {type: 'records', ...inOrder(parse(pageSchema, body), from)};
+		return status === statusGone ? {type: 'gone', ...parse(goneSchema, body)} : {type: 'records', ...checkOrder(parse(pageSchema, body), from)};
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
@@ -60,7 +60,7 @@
 	return `/streams/${encodeURIComponent(stream)}/records`;
 }
 
-function outcomeOfFailure(error: unknown): AppendResult {
+function toAppendResult(error: unknown): AppendResult {
 	if (!(error instanceof PlatformError)) {
 		throw error;
 	}
@@ -85,14 +85,14 @@
 type Page = z.infer<typeof pageSchema>;
 
 /**
- * Failure: a log that answers with records out of order or from before `from`. Symptom: a fold that
- * goes back. Nothing after this check needs to look at the order of a page again.
+ * Throws if the records are out of order or start before `from`, either of which would make a fold go
+ * back. Code that uses the page can rely on its order.
  */
-function inOrder(page: Page, from: number): Page {
+function checkOrder(page: Page, from: number): Page {
 	let expected = from;
 	for (const record of page.records) {
 		if (record.offset < expected) {
-			throw PlatformError.create({type: 'malformed', reason: `offset ${record.offset} came where ${expected} or later was due`});
+			throw PlatformError.create({type: 'malformed', reason: `offset ${record.offset} is out of order; expected ${expected} or higher`});
 		}
 
 		expected = record.offset + 1;
--- a/src/platform/membership-client.ts
+++ b/src/platform/membership-client.ts
@@ -3,7 +3,7 @@
 import {HttpCaller, type HttpClientSettings, statusNotModified} from './http-caller.js';
 import {type Member, type MembershipClient} from './types.js';
 
-/** One line of the list as it travels. */
+/** Schema of one member in the list. */
 export const memberSchema = z.object({
 	instance: z.string().min(1),
 	role: z.enum(['entry', 'side']),
@@ -18,9 +18,9 @@
 const listSchema = z.object({members: z.array(z.unknown())});
 
 /**
- * The platform's membership list over HTTP. A line that can't be read is left out, the rest is used.
- * The list is asked for with the version held, so that an unchanged one costs some hundred bytes: at
- * 950 instances the whole list is about 150 kB, and every process asks each second.
+ * The platform's membership list over HTTP. Invalid members are skipped. Requests carry the entity tag
+ * of the cached list, so that an unchanged list costs some hundred bytes: with 950 instances the whole
+ * list is about 150 kB, and every process requests it each second.
  */
 export class HttpMembershipClient implements MembershipClient, AsyncDisposable {
 	static create(settings: HttpClientSettings): HttpMembershipClient {
@@ -28,28 +28,28 @@
 	}
 
 	readonly #caller: HttpCaller;
-	#held: {readonly etag: string; readonly members: readonly Member[]} | undefined;
+	#cached: {readonly etag: string; readonly members: readonly Member[]} | undefined;
 
 	private constructor(settings: HttpClientSettings) {
 		this.#caller = HttpCaller.create(settings);
 	}
 
 	async list(signal?: AbortSignal): Promise<readonly Member[]> {
-		const {status, body, etag} = await this.#caller.call({method: 'GET', path: '/members', signal, ifNoneMatch: this.#held?.etag});
-		if (status === statusNotModified && this.#held !== undefined) {
-			return this.#held.members;
+		const {status, body, etag} = await this.#caller.call({method: 'GET', path: '/members', signal, ifNoneMatch: this.#cached?.etag});
+		if (status === statusNotModified && this.#cached !== undefined) {
+			return this.#cached.members;
 		}
 
 		const parsed = listSchema.safeParse(body);
 		if (!parsed.success) {
-			throw PlatformError.create({type: 'malformed', reason: 'the answer holds no list of members'});
+			throw PlatformError.create({type: 'malformed', reason: 'the response has no list of members'});
 		}
 
-		const members = parsed.data.members.flatMap(line => {
-			const member = memberSchema.safeParse(line);
+		const members = parsed.data.members.flatMap(item => {
+			const member = memberSchema.safeParse(item);
 			return member.success ? [member.data] : [];
 		});
-		this.#held = etag === undefined ? undefined : {etag, members};
+		this.#cached = etag === undefined ? undefined : {etag, members};
 		return members;
 	}
 
--- a/src/platform/quarantine-ledger.ts
+++ b/src/platform/quarantine-ledger.ts
@@ -5,68 +5,68 @@
 } from '../policy/quarantine/index.js';
 import {type LogClient} from './types.js';
 
-/** The stream that every process reads: crashes and clearings are rare. */
+/** The quarantine's stream in the log. Every process reads all of it, since crashes and releases are rare. */
 export const quarantineStream = 'quarantine';
 
 const pollMilliseconds = 10_000;
 const retryMilliseconds = 1000;
-/** A log that answers at once though it has nothing new must not be asked without a pause. */
-const idleMilliseconds = 20;
-/** Records that wait for a log that is down; they have been spread by frames already. */
+/** Pause after a read, so that a log that does not wait is not polled in a busy loop. */
+const readPauseMilliseconds = 20;
+/** Largest number of records queued while the log is unavailable; peers have received them by frame already. */
 const outboxCapacity = 500;
 
-/** Called with records that this process did not know. Those from the log need no passing on, as all processes read it. */
-export type NewsListener = (records: readonly QuarantineRecord[], from: 'process' | 'log') => void;
+/** Called with records that were new to this process. Those from the log need not be forwarded, as all processes read it. */
+export type RecordListener = (records: readonly QuarantineRecord[], from: 'process' | 'log') => void;
 
 export type QuarantineLedgerSettings = {
 	readonly log: LogClient;
 	readonly onLog?: (message: string) => void;
-	/** Milliseconds since 1970. */
+	/** Returns the time in milliseconds since 1970. */
 	readonly now?: () => number;
 };
 
 /**
- * What this process knows about requests that crash endpoints. Records come from this process, from
- * peers by frame, which is fast, and from the log, which reaches those that no frame reached.
+ * The records of requests that crash endpoints. They come from this process, from peers by frame, which
+ * is fast, and from the log, which also reaches the processes that no frame reached.
  */
 export class QuarantineLedger implements AsyncDisposable {
 	static create(settings: QuarantineLedgerSettings): QuarantineLedger {
 		const ledger = new QuarantineLedger(settings);
-		ledger.#done = [spawn('quarantine-tail', () => ledger.#tail()), spawn('quarantine-append', () => ledger.#appendAll())];
+		ledger.#tasks = [spawn('quarantine-tail', () => ledger.#tail()), spawn('quarantine-append', () => ledger.#appendAll())];
 		return ledger;
 	}
 
 	readonly #settings: QuarantineLedgerSettings;
-	readonly #listeners = new Set<NewsListener>();
+	readonly #listeners = new Set<RecordListener>();
 	readonly #abort = new AbortController();
 	readonly #stop: Channel<never> = channel<never>(1);
 	readonly #outbox: Channel<QuarantineRecord> = channel<QuarantineRecord>(outboxCapacity);
 	#state: Quarantine = createQuarantine();
 	#records: QuarantineRecord[] = [];
-	#done: ReadonlyArray<Promise<void>> = [];
-	/** Whether the log has left a reading without an answer since it last gave one: a long wait would hang through its return. */
-	#isDoubted = false;
+	#tasks: ReadonlyArray<Promise<void>> = [];
+	/** True after a failed read, until one succeeds. Reads then don't wait: a long poll would still hang when the log is available again. */
+	#isLogUnavailable = false;
 
 	private constructor(settings: QuarantineLedgerSettings) {
 		this.#settings = settings;
 	}
 
-	/** What is held against a fingerprint now. */
+	/** The current status of a fingerprint. */
 	evaluate(fingerprint: string): FingerprintStatus {
 		return evaluateFingerprint(this.#state, fingerprint, this.#now());
 	}
 
-	/** Everything that is known. */
+	/** The state after all known records. */
 	get state(): Quarantine {
 		return this.#state;
 	}
 
-	/** Every quarantined fingerprint, for operators. */
+	/** All quarantined fingerprints, for operators. */
 	quarantined(): ReturnType<typeof listQuarantined> {
 		return listQuarantined(this.#state, this.#now());
 	}
 
-	/** Lets a quarantined fingerprint run again; false if nothing is held against it. */
+	/** Releases a quarantined fingerprint, so that its requests run again; false if it is not quarantined. */
 	release(fingerprint: string, operator: string): boolean {
 		if (this.evaluate(fingerprint).suspicion !== Suspicion.quarantined) {
 			return false;
@@ -76,25 +76,25 @@
 		return true;
 	}
 
-	/** Every record that still counts: what a peer needs that has just connected. */
+	/** All records that are still in effect, for a peer that has just connected. */
 	records(): readonly QuarantineRecord[] {
 		return this.#records;
 	}
 
-	/** Adds a record of this process, passes it on, and writes it to the log. */
+	/** Adds a record of this process, notifies the listeners, and writes it to the log. */
 	addRecord(record: QuarantineRecord): void {
 		if (this.#fold([record], 'process') > 0) {
 			tryDeliver(this.#outbox, record);
 		}
 	}
 
-	/** Takes records from a peer; those that were not known are passed on once. */
+	/** Adds records from a peer; the listeners are notified of the new ones. */
 	receiveRecords(records: readonly unknown[]): void {
 		this.#fold(records, 'process');
 	}
 
-	/** Tells the listener of every record from now on. */
-	addListener(listener: NewsListener): void {
+	/** Calls the listener with every new record from now on. */
+	addListener(listener: RecordListener): void {
 		this.#listeners.add(listener);
 	}
 
@@ -102,7 +102,7 @@
 		this.#abort.abort();
 		this.#stop.close();
 		this.#outbox.close();
-		await Promise.all(this.#done);
+		await Promise.all(this.#tasks);
 	}
 
 	#now(): number {
@@ -110,27 +110,27 @@
 	}
 
 	#fold(values: readonly unknown[], from: 'process' | 'log'): number {
-		const news: QuarantineRecord[] = [];
+		const newRecords: QuarantineRecord[] = [];
 		for (const value of values) {
 			const parsed = quarantineRecordSchema.safeParse(value);
-			if (parsed.success && !this.#knows(parsed.data)) {
+			if (parsed.success && !this.#isKnown(parsed.data)) {
 				this.#state = foldQuarantine(this.#state, parsed.data);
-				news.push(parsed.data);
+				newRecords.push(parsed.data);
 			}
 		}
 
-		if (news.length > 0) {
-			this.#records = [...this.#records, ...news];
+		if (newRecords.length > 0) {
+			this.#records = [...this.#records, ...newRecords];
 			this.#prune();
 			for (const listener of this.#listeners) {
-				listener(news, from);
+				listener(newRecords, from);
 			}
 		}
 
-		return news.length;
+		return newRecords.length;
 	}
 
-	#knows(record: QuarantineRecord): boolean {
+	#isKnown(record: QuarantineRecord): boolean {
 		if (record.type === 'crashed') {
 			return this.#state.crashes.has(record.crash);
 		}
@@ -148,33 +148,33 @@
 	* #tail(): Body<void> {
 		let next = 0;
 		while (!this.#abort.signal.aborted) {
-			const pause = yield * this.#readPage(next);
-			next = pause.next;
-			yield * receiveWithin(this.#stop, pause.milliseconds);
+			const result = yield * this.#readPage(next);
+			next = result.next;
+			yield * receiveWithin(this.#stop, result.milliseconds);
 		}
 	}
 
 	* #readPage(from: number): Body<{next: number; milliseconds: number}> {
 		try {
-			const page = yield * wait(this.#settings.log.read(quarantineStream, from, {waitMilliseconds: this.#isDoubted ? 0 : pollMilliseconds, signal: this.#abort.signal}));
-			this.#isDoubted = false;
+			const page = yield * wait(this.#settings.log.read(quarantineStream, from, {waitMilliseconds: this.#isLogUnavailable ? 0 : pollMilliseconds, signal: this.#abort.signal}));
+			this.#isLogUnavailable = false;
 			if (page.type === 'gone') {
 				return {next: page.first, milliseconds: 0};
 			}
 
 			this.#fold(page.records.map(({value}) => value), 'log');
-			return {next: (page.records.at(-1)?.offset ?? (from - 1)) + 1, milliseconds: idleMilliseconds};
+			return {next: (page.records.at(-1)?.offset ?? (from - 1)) + 1, milliseconds: readPauseMilliseconds};
 		} catch (error) {
-			if (!this.#isDoubted && !this.#abort.signal.aborted) {
-				this.#settings.onLog?.(`quarantine: The log can't be read: ${String(error)}`);
+			if (!this.#isLogUnavailable && !this.#abort.signal.aborted) {
+				this.#settings.onLog?.(`quarantine: Reading the log failed: ${String(error)}`);
 			}
 
-			this.#isDoubted = true;
+			this.#isLogUnavailable = true;
 			return {next: from, milliseconds: retryMilliseconds};
 		}
 	}
 
-	/** A record that the log may have twice does no harm, so an append is repeated until it is certain. */
+	/** Duplicate records in the log are harmless, so an append is retried until it is confirmed. */
 	* #appendAll(): Body<void> {
 		for (;;) {
 			const record = yield * receive(this.#outbox);
--- a/src/platform/record-history.ts
+++ b/src/platform/record-history.ts
@@ -1,15 +1,15 @@
 import {type StreamRecord} from '../catalogue/index.js';
 
-/** A record as it travels between peers: its value is JSON text. */
+/** A record as peers exchange it: the value is JSON text. */
 export type TextRecord = {readonly offset: number; readonly time: number; readonly value: string};
 
 const historyRecords = 512;
 const historyBytes = 1_000_000;
-const answerBytes = 256_000;
+const responseBytes = 256_000;
 
 /**
  * The newest records of a stream without a gap, for peers that are a little behind. Bounded by count
- * and size; what is dropped is served as a snapshot instead.
+ * and size; peers that need a dropped record get a snapshot instead.
  */
 export class RecordHistory {
 	static create(): RecordHistory {
@@ -37,24 +37,24 @@
 		}
 	}
 
-	/** The records from `offset` on, as many as fit an answer; undefined if that one has been dropped. */
+	/** The records from `offset` on, as many as fit into a response; undefined if the one at `offset` has been dropped. */
 	from(offset: number): readonly TextRecord[] | undefined {
 		const first = this.#records[0]?.offset;
 		if (first === undefined || offset < first) {
 			return undefined;
 		}
 
-		const answer: TextRecord[] = [];
+		const response: TextRecord[] = [];
 		let bytes = 0;
 		for (const record of this.#records.slice(offset - first)) {
 			bytes += record.value.length;
-			if (answer.length > 0 && bytes > answerBytes) {
+			if (response.length > 0 && bytes > responseBytes) {
 				break;
 			}
 
-			answer.push(record);
+			response.push(record);
 		}
 
-		return answer;
+		return response;
 	}
 }
--- a/src/platform/weight-store-client.ts
+++ b/src/platform/weight-store-client.ts
@@ -5,7 +5,7 @@
 
 const fetchedSchema = z.object({bytes: z.number().nonnegative()});
 
-/** The platform's weight store over HTTP. A paced fetch throws status 429 with the time to wait. */
+/** The platform's weight store over HTTP. A fetch over the store's rate limit throws `PlatformError` with status 429 and the time to wait. */
 export class HttpWeightStoreClient implements WeightStoreClient, AsyncDisposable {
 	static create(settings: HttpClientSettings & {readonly endpoint: string}): HttpWeightStoreClient {
 		return new HttpWeightStoreClient(settings);
@@ -24,7 +24,7 @@
 		const {body} = await this.#caller.call({method: 'POST', path, body: {endpoint: this.#endpoint}, signal});
 		const parsed = fetchedSchema.safeParse(body);
 		if (!parsed.success) {
-			throw PlatformError.create({type: 'malformed', reason: 'the answer names no size'});
+			throw PlatformError.create({type: 'malformed', reason: 'the response has no size'});
 		}
 
 		return parsed.data;
--- a/test/platform/catalogue-follower.test.ts
+++ b/test/platform/catalogue-follower.test.ts
@@ -8,8 +8,8 @@
 
 const times = {firstRetryMilliseconds: 1, longestRetryMilliseconds: 5, snapshotCheckMilliseconds: 2, snapshotSpreadMilliseconds: 10};
 
-function follow(log: MemoryLog, more: Partial<FollowerOptions> = {}): CatalogueFollower {
-	return CatalogueFollower.create({log, instance: 'entry-1', times, ...more});
+function follow(log: MemoryLog, options: Partial<FollowerOptions> = {}): CatalogueFollower {
+	return CatalogueFollower.create({log, instance: 'entry-1', times, ...options});
 }
 
 async function until(condition: () => boolean): Promise<void> {
@@ -32,7 +32,7 @@
 	return catalogue.models().map(model => model.name);
 }
 
-tap.test('a change reaches a follower that was there before it', async t => {
+tap.test('a follower applies a change that is published after it started', async t => {
 	const log = MemoryLog.create();
 	await using follower = follow(log);
 	await follower.ready;
@@ -44,9 +44,8 @@
 });
 
 tap.test('an outage of the log delays changes and loses none', async t => {
-	// The caller sees a class that was published during the outage only after it. The log answers
-	// nothing, then comes back with two more records; the follower keeps what it had and reads on
-	// from its own offset, so nothing is skipped or applied twice.
+	// The log fails, then is available again with two more records; callers see a class published meanwhile only then.
+	// The follower must keep its catalogue and continue from its own offset, so that no record is skipped or applied twice.
 	const log = MemoryLog.create();
 	await publish(log, 'menu');
 	await using follower = follow(log);
@@ -60,8 +59,8 @@
 	t.same(modelNames(follower.current()), ['menu', 'order', 'stitch']);
 });
 
-// Guards against readings with a long wait that are sent into a silent log and hang through its return.
-tap.test('after a reading without an answer the next ones ask for what is there, until one is answered', async t => {
+// Guards against long polls that are sent to an unresponsive log and still hang when it is available again.
+tap.test('after a failed read the next reads do not wait for new records, until one succeeds', async t => {
 	const log = MemoryLog.create();
 	await using follower = follow(log);
 	await using ledger = QuarantineLedger.create({log});
@@ -79,8 +78,8 @@
 });
 
 tap.test('a process that starts while the log is down takes the catalogue from a peer', async t => {
-	// The caller is refused as not ready until a peer is met. The log is down; the new process asks a
-	// peer, gets the records, and serves. Later a stale peer sends old records again: nothing reverts.
+	// Without this, a process would refuse requests as not ready until the log is available. It gets the records from a
+	// peer instead. A stale peer that later sends old records again must not revert a change.
 	const log = MemoryLog.create();
 	await publish(log, 'menu', 'order');
 	await using peer = follow(log);
@@ -89,13 +88,13 @@
 	log.isDown = true;
 	await using follower = follow(log);
 	t.notOk(follower.isReady);
-	t.ok(follower.accept(peer.recordsFrom(follower.current().offset + 1)));
+	t.ok(follower.applyPeerRecords(peer.recordsFrom(follower.current().offset + 1)));
 	await follower.ready;
-	t.notOk(follower.accept(stale));
+	t.notOk(follower.applyPeerRecords(stale));
 	t.equal(follower.current().offset, 1);
 });
 
-tap.test('a peer too far ahead of the records it kept sends its catalogue whole', async t => {
+tap.test('a peer whose history no longer reaches back far enough sends a snapshot', async t => {
 	const log = MemoryLog.create();
 	await publish(log, 'menu', 'order');
 	await using writer = follow(log, {snapshots: {intervalMilliseconds: 60_000, intervalRecords: 2}});
@@ -105,19 +104,19 @@
 	await restarted.ready;
 	t.same(modelNames(restarted.current()), ['menu', 'order'], 'restored from the snapshot in the log');
 	log.isDown = true;
-	const answer = restarted.recordsFrom(0);
-	t.ok(answer.snapshot);
+	const response = restarted.recordsFrom(0);
+	t.ok(response.snapshot);
 	await using follower = follow(log);
-	t.ok(follower.accept(answer));
+	t.ok(follower.applyPeerRecords(response));
 	t.same(modelNames(follower.current()), ['menu', 'order']);
 });
 
 tap.test('retention never leaves the stream without a usable snapshot', async t => {
-	// An operator's old change would vanish for a process that starts after retention dropped it. The
-	// log drops all but its newest records again and again; some follower has written a snapshot
-	// before, also where the answer to its append was lost, and writes no more than it must.
+	// Without a snapshot, an old change would be missing in a process that starts after retention dropped it.
+	// The log repeatedly drops all but its newest records. A follower must have written a snapshot before each
+	// time, also if the response to its append was lost, and no more snapshots than necessary.
 	const log = MemoryLog.create();
-	log.losesAnswers = true;
+	log.losesResponses = true;
 	await publish(log, 'menu');
 	const snapshots = {intervalMilliseconds: 40, intervalRecords: 100};
 	await using first = follow(log, {snapshots});
--- a/test/platform/log-client.test.ts
+++ b/test/platform/log-client.test.ts
@@ -4,7 +4,7 @@
 
 const timeoutMilliseconds = 2000;
 
-tap.test('appends get rising offsets and are read back in order', async t => {
+tap.test('appends get increasing offsets and are read back in order', async t => {
 	await using log = await FakeLog.create();
 	await using client = HttpLogClient.create({baseUrl: log.url, timeoutMilliseconds});
 	for (let offset = 0; offset < 3; offset++) {
@@ -19,12 +19,12 @@
 tap.test('a read waits for the next record', async t => {
 	await using log = await FakeLog.create();
 	await using client = HttpLogClient.create({baseUrl: log.url, timeoutMilliseconds});
-	const reading = client.read('claims', 0, {waitMilliseconds: 60_000});
+	const pendingRead = client.read('claims', 0, {waitMilliseconds: 60_000});
 	await client.append('claims', 'first');
-	t.match(await reading, {type: 'records', records: [{offset: 0, value: 'first'}]});
+	t.match(await pendingRead, {type: 'records', records: [{offset: 0, value: 'first'}]});
 });
 
-tap.test('retention that passed an offset is told as gone', async t => {
+tap.test('a read of an offset that retention has dropped returns gone', async t => {
 	await using log = await FakeLog.create({faults: {retainRecords: 2}});
 	await using client = HttpLogClient.create({baseUrl: log.url, timeoutMilliseconds});
 	for (let count = 0; count < 5; count++) {
@@ -34,16 +34,16 @@
 	t.same(await client.read('claims', 0), {type: 'gone', first: 3, next: 5});
 });
 
-tap.test('an append whose answer is lost is unknown, and the record is there', async t => {
-	// The caller appends; the log keeps the record and its answer is cut. Saying "refused" here
-	// would let the writer repeat or deny what every reader sees.
+tap.test('an append whose response is lost is unknown, and the record is in the log', async t => {
+	// The log stores the record, but its response is lost. If the append were reported as refused, the writer
+	// would repeat or deny a record that every reader sees.
 	await using log = await FakeLog.create({faults: {loseAnswers: 1}});
 	await using client = HttpLogClient.create({baseUrl: log.url, timeoutMilliseconds});
 	t.match(await client.append('claims', 'kept'), {type: 'unknown'});
 	t.match(await client.read('claims', 0), {records: [{value: 'kept'}]});
 });
 
-tap.test('each outcome of an append that was not kept is refused, and a failing log is unknown', async t => {
+tap.test('an append that was certainly not stored is refused, and one to a failing log is unknown', async t => {
 	await using log = await FakeLog.create({faults: {appendsPerSecond: 1}});
 	await using client = HttpLogClient.create({baseUrl: log.url, timeoutMilliseconds});
 	await client.append('claims', 1);
@@ -51,20 +51,20 @@
 	log.faults.mode = 'error';
 	t.match(await client.append('claims', 3), {type: 'unknown'}, 'server error');
 	log.faults.mode = 'reset';
-	t.match(await client.append('claims', 4), {type: 'unknown'}, 'cut connection');
+	t.match(await client.append('claims', 4), {type: 'unknown'}, 'connection reset');
 	await log.stop();
 	t.match(await client.append('claims', 5), {type: 'refused'}, 'no connection');
 	t.equal(log.records('claims').length, 1);
 });
 
-tap.test('a log that hangs ends the call at its timeout', async t => {
+tap.test('a call to a log that hangs ends at its timeout', async t => {
 	await using log = await FakeLog.create({faults: {mode: 'hang'}});
 	await using client = HttpLogClient.create({baseUrl: log.url, timeoutMilliseconds: 30});
 	t.match(await client.append('claims', 1), {type: 'unknown'});
 	await t.rejects(client.read('claims', 0), PlatformError);
 });
 
-tap.test('a record that the log kept twice has two offsets', async t => {
+tap.test('a record that the log stored twice has two offsets', async t => {
 	await using log = await FakeLog.create({faults: {duplicateAppends: 1}});
 	await using client = HttpLogClient.create({baseUrl: log.url, timeoutMilliseconds});
 	t.same(await client.append('claims', 'twice'), {type: 'appended', offset: 0});
--- a/test/platform/memory-log.ts
+++ b/test/platform/memory-log.ts
@@ -1,16 +1,16 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import {type AppendResult, type LogClient, type LogRecord, type ReadResult} from '../../src/platform/types.js';
 
-/** A log in memory that can be down, drop old records and lose answers to appends. */
+/** An in-memory log that can be unavailable, drop old records and lose responses to appends. */
 export class MemoryLog implements LogClient {
 	static create(): MemoryLog {
 		return new MemoryLog();
 	}
 
 	isDown = false;
-	/** The waits that readings asked for. */
+	/** The requested wait of each read, in milliseconds. */
 	readonly waits: number[] = [];
-	losesAnswers = false;
+	losesResponses = false;
 	#records: LogRecord[] = [];
 	#next = 0;
 
@@ -33,7 +33,7 @@
 
 		const offset = this.#next++;
 		this.#records.push({offset, time: Date.now(), value: structuredClone(value)});
-		return this.losesAnswers ? {type: 'unknown', reason: 'lost'} : {type: 'appended', offset};
+		return this.losesResponses ? {type: 'unknown', reason: 'lost'} : {type: 'appended', offset};
 	}
 
 	async read(_stream: string, from: number, options: {limit?: number; waitMilliseconds?: number; signal?: AbortSignal} = {}): Promise<ReadResult> {
--- a/test/platform/quarantine-ledger.test.ts
+++ b/test/platform/quarantine-ledger.test.ts
@@ -14,35 +14,35 @@
 
 const crash = (side: string) => createCrashRecord(side as InstanceId, `${side}-endpoint` as EndpointId, ['poison'], Date.now());
 
-tap.test('records spread by frame while the log is down, each once, and by the log once it is back', async t => {
-	// An endpoint dies while the log is down. Peers hear of it by frame at once, pass it on once, and a
-	// process that no frame reaches learns it from the log later.
+tap.test('records are sent by frame while the log is down, each once, and by the log when it is available again', async t => {
+	// An endpoint crashes while the log is down. Peers get the record by frame at once and forward it once; a
+	// process that no frame reaches reads it from the log later.
 	await using log = await FakeLog.create();
 	await using client = HttpLogClient.create({baseUrl: log.url, timeoutMilliseconds: 2000});
 	await log.stop();
-	const passedOn: string[] = [];
-	await using far = QuarantineLedger.create({log: client});
-	await using near = QuarantineLedger.create({log: client});
-	near.addListener((_records, from) => {
-		passedOn.push(`near ${from}`);
+	const notified: string[] = [];
+	await using unconnected = QuarantineLedger.create({log: client});
+	await using peer = QuarantineLedger.create({log: client});
+	peer.addListener((_records, from) => {
+		notified.push(`peer ${from}`);
 	});
 	await using first = QuarantineLedger.create({log: client});
 	first.addListener(records => {
-		passedOn.push('first');
-		near.receiveRecords(records);
-		near.receiveRecords(records);
+		notified.push('first');
+		peer.receiveRecords(records);
+		peer.receiveRecords(records);
 	});
 	first.addRecord(crash('side-1'));
 	first.addRecord(crash('side-2'));
-	t.equal(near.evaluate('poison').suspicion, Suspicion.quarantined);
-	t.same(passedOn, ['first', 'near process', 'first', 'near process']);
-	t.equal(far.evaluate('poison').suspicion, Suspicion.none);
+	t.equal(peer.evaluate('poison').suspicion, Suspicion.quarantined);
+	t.same(notified, ['first', 'peer process', 'first', 'peer process']);
+	t.equal(unconnected.evaluate('poison').suspicion, Suspicion.none);
 	await log.start();
-	await until(() => far.evaluate('poison').suspicion === Suspicion.quarantined);
-	t.equal(far.evaluate('poison').suspicion, Suspicion.quarantined);
-	near.addRecord(createReleasedRecord(near.state, 'poison', 'operator', Date.now()));
-	await until(() => far.evaluate('poison').suspicion === Suspicion.none);
-	t.equal(far.evaluate('poison').suspicion, Suspicion.none);
-	far.receiveRecords(['not a record']);
-	t.equal(far.records().length, 3);
+	await until(() => unconnected.evaluate('poison').suspicion === Suspicion.quarantined);
+	t.equal(unconnected.evaluate('poison').suspicion, Suspicion.quarantined);
+	peer.addRecord(createReleasedRecord(peer.state, 'poison', 'operator', Date.now()));
+	await until(() => unconnected.evaluate('poison').suspicion === Suspicion.none);
+	t.equal(unconnected.evaluate('poison').suspicion, Suspicion.none);
+	unconnected.receiveRecords(['not a record']);
+	t.equal(unconnected.records().length, 3);
 });
