--- a/src/catalogue/catalogue.ts
+++ b/src/catalogue/catalogue.ts
@@ -6,12 +6,12 @@
 /** An entry and the offset of the change that set it. */
 export type RevisedEntry = {readonly entry: Entry; readonly revision: number};
 
-/** The offset of a catalogue that has seen no record. */
+/** The offset of a catalogue to which no record has been applied. */
 export const noOffset = -1;
 
 /**
- * The catalogue after a prefix of its stream. A value: it never changes, and a later one is made
- * from it. Two catalogues with the same offset are equal, whoever folded them.
+ * The catalogue after a prefix of its stream. Immutable: `advance` returns a new catalogue. Two catalogues
+ * with the same offset are equal in all processes.
  */
 export class Catalogue {
 	/** The catalogue before the first record. */
@@ -19,16 +19,16 @@
 		return new Catalogue(noOffset, noOffset, new Map());
 	}
 
-	/** The catalogue that a snapshot holds. */
+	/** Restores the catalogue from a snapshot. */
 	static restore(snapshot: Snapshot): Catalogue {
 		return new Catalogue(snapshot.through, snapshot.changed, new Map(snapshot.entries.map(item => [entryKey(item.entry), item])));
 	}
 
-	/** The last record that this catalogue has seen. */
+	/** Offset of the last record that was applied. */
 	readonly offset: number;
-	/** The last change that was accepted. */
+	/** Offset of the last change that was accepted. */
 	readonly changed: number;
-	/** Every entry, by `entryKey`. */
+	/** All entries, by `entryKey`. */
 	readonly entries: ReadonlyMap<string, RevisedEntry>;
 	#byKey: ReadonlyMap<string, WorkspaceEntry> | undefined;
 	#models: readonly ModelEntry[] | undefined;
@@ -40,10 +40,10 @@
 	}
 
 	/**
-	 * The catalogue after the record at `offset`; with `entries` if that record changed them.
+	 * Returns the catalogue after the record at `offset`; `entries` is given if that record changed them.
 	 *
-	 * Failure: a late or repeated record is applied once more. Symptom: an accepted change reverts.
-	 * Offsets that only rise make every catalogue a prefix of the one stream, which can't revert.
+	 * Throws `RangeError` unless the offset increases. A late or repeated record that is applied again would revert an
+	 * accepted change; with increasing offsets every catalogue is a prefix of the one stream, which can't revert.
 	 */
 	advance(offset: number, entries?: ReadonlyMap<string, RevisedEntry>): Catalogue {
 		if (offset <= this.offset) {
@@ -60,12 +60,12 @@
 		return next;
 	}
 
-	/** The snapshot record that carries this catalogue. */
+	/** The snapshot record of this catalogue; `instance` is the process that writes it. */
 	snapshot(instance: string): Snapshot {
 		return {type: 'snapshot', instance, through: this.offset, changed: this.changed, entries: [...this.entries.values()]};
 	}
 
-	/** The workspace that a bearer key with this SHA-256 opens. */
+	/** The workspace whose bearer keys include the one with this SHA-256. */
 	findWorkspaceByKey(sha256Hex: string): WorkspaceEntry | undefined {
 		this.#byKey ??= indexKeys(this.entries);
 		return this.#byKey.get(sha256Hex);
@@ -75,7 +75,7 @@
 		return this.#find('workspace', name) as WorkspaceEntry | undefined;
 	}
 
-	/** A class of the workspace; without a name, the workspace's default class. */
+	/** A class of the workspace; the default class if no name is given. */
 	classOf(workspace: string, className?: string): ClassEntry | undefined {
 		const name = className ?? this.workspace(workspace)?.defaultClass;
 		return name === undefined ? undefined : this.#find('class', `${workspace}/${name}`) as ClassEntry | undefined;
@@ -89,7 +89,7 @@
 		return this.#find('service', name) as ServiceEntry | undefined;
 	}
 
-	/** Every model, by name. */
+	/** All models, sorted by name. */
 	models(): readonly ModelEntry[] {
 		this.#models ??= [...this.entries.values()].map(item => item.entry).filter(entry => entry.kind === 'model')
 			.toSorted((first, second) => first.name < second.name ? -1 : 1);
--- a/src/catalogue/file.ts
+++ b/src/catalogue/file.ts
@@ -5,8 +5,8 @@
 	.describe('The revision that this was made against, as `show` prints it; new: the entry must be new. Left out: the one in force when the file is published.');
 
 /**
- * A file that an operator publishes. It holds what changes: an entry that it does not name stays as
- * it is, because other operators have files of their own.
+ * A file that an operator publishes. It lists only changes: an entry that is not listed stays unchanged,
+ * because other operators have their own files.
  */
 export const catalogueFileSchema = z.strictObject({
 	note: z.string().max(1024).optional().describe('Why the change is made; kept in the audit trail.'),
--- a/src/catalogue/fold.ts
+++ b/src/catalogue/fold.ts
@@ -6,39 +6,39 @@
 import {entryKey, type Entry} from './entry.js';
 import {findFaults, type Fault} from './validity.js';
 
-/** A record of the catalogue stream as the log or a peer hands it over. */
+/** A record of the catalogue stream as read from the log or received from a peer. */
 export type StreamRecord = {readonly offset: number; readonly time: number; readonly value: unknown};
 
-/** Why a record has no effect. */
+/** Why a record was rejected. */
 export type Rejection
 	= | {readonly type: 'malformed'; readonly field: string; readonly message: string}
-	/** Someone else changed the entry first; no revision stands for an entry that is not there. */
+	/** The entry was changed after the revision `madeAgainst`. An undefined revision means that the entry does not exist. */
 		| {readonly type: 'outdated'; readonly entry: string; readonly madeAgainst: number | undefined; readonly current: number | undefined}
 		| {readonly type: 'duplicate'; readonly entry: string}
 		| ({readonly type: 'invalid'} & Fault)
 		| {readonly type: 'snapshot-differs'; readonly through: number};
 
-/** What an accepted change did to one entry. */
+/** The effect of an accepted change on one entry. */
 export type Difference = {readonly entry: string; readonly before?: Entry; readonly after?: Entry};
 
-/** What became of a record. */
+/** The result of applying a record. */
 export type RecordVerdict
-	/** Its change is in force. A snapshot is accepted without differences. */
+	/** The change is in force. An accepted snapshot has no differences. */
 	= | {readonly type: 'accepted'; readonly differences: readonly Difference[]}
 		| {readonly type: 'rejected'; readonly reasons: readonly Rejection[]}
-	/** The catalogue has seen this offset before; nothing happens. */
+	/** A record at this offset was applied before; this one has no effect. */
 		| {readonly type: 'repeated'}
-	/** Records before this one are missing; nothing happens until they have been read. */
+	/** Records before this one are missing; it has no effect until they have been applied. */
 		| {readonly type: 'gap'; readonly expected: number};
 
-export type Applied = {readonly catalogue: Catalogue; readonly verdict: RecordVerdict};
+export type ApplyResult = {readonly catalogue: Catalogue; readonly verdict: RecordVerdict};
 
 /**
- * The catalogue after one more record. A pure function of both, so all readers of the stream agree
- * without talking to each other. It never throws on what a record holds: a record that can't be
- * understood is rejected, and the catalogue moves past it.
+ * Applies a record to a catalogue. A pure function of both, so all readers of the stream get the same
+ * catalogue without coordination. No content of a record makes it throw: a malformed record is rejected, and
+ * the catalogue's offset advances past it.
  */
-export function applyRecord(catalogue: Catalogue, record: StreamRecord): Applied {
+export function applyRecord(catalogue: Catalogue, record: StreamRecord): ApplyResult {
 	if (record.offset <= catalogue.offset) {
 		return {catalogue, verdict: {type: 'repeated'}};
 	}
@@ -63,8 +63,8 @@
 	}
 }
 
-/** What a change would do if it were the next record. */
-export function applyChange(catalogue: Catalogue, offset: number, change: Change): Applied {
+/** Applies a change as the record at `offset`; also used to preview a change. */
+export function applyChange(catalogue: Catalogue, offset: number, change: Change): ApplyResult {
 	const conflicts = findConflicts(catalogue, change.operations);
 	if (conflicts.length > 0) {
 		return reject(catalogue, offset, conflicts);
@@ -85,7 +85,7 @@
 		return reject(catalogue, offset, faults.map(fault => ({type: 'invalid', ...fault})));
 	}
 
-	const differences = change.operations.map(operation => differenceOf(catalogue, operation));
+	const differences = change.operations.map(operation => findDifference(catalogue, operation));
 	return {catalogue: catalogue.advance(offset, entries), verdict: {type: 'accepted', differences}};
 }
 
@@ -108,21 +108,21 @@
 	return conflicts;
 }
 
-function differenceOf(catalogue: Catalogue, operation: Operation): Difference {
+function findDifference(catalogue: Catalogue, operation: Operation): Difference {
 	const entry = entryKey(subjectOf(operation));
 	const before = catalogue.entries.get(entry)?.entry;
 	return {entry, ...(before && {before}), ...(operation.type === 'put' && {after: operation.entry})};
 }
 
 /**
- * A reader that has come this far needs no snapshot. It checks it instead: a snapshot that is
- * newer than the last change must hold exactly the entries that were folded here.
+ * A reader that has applied all previous records does not need the snapshot, but verifies it: a snapshot
+ * that is not older than the last change must contain exactly the entries of the folded catalogue.
  */
-function applySnapshot(catalogue: Catalogue, offset: number, snapshot: Snapshot): Applied {
-	const comparable = snapshot.through < offset && snapshot.through >= catalogue.changed;
-	const differs = snapshot.through >= offset
-		|| (comparable && (snapshot.changed !== catalogue.changed || !sameEntries(catalogue.entries, snapshot)));
-	if (differs) {
+function applySnapshot(catalogue: Catalogue, offset: number, snapshot: Snapshot): ApplyResult {
+	const isComparable = snapshot.through < offset && snapshot.through >= catalogue.changed;
+	const isDifferent = snapshot.through >= offset
+		|| (isComparable && (snapshot.changed !== catalogue.changed || !sameEntries(catalogue.entries, snapshot)));
+	if (isDifferent) {
 		return reject(catalogue, offset, [{type: 'snapshot-differs', through: snapshot.through}]);
 	}
 
@@ -134,7 +134,7 @@
 		&& snapshot.entries.every(item => isDeepStrictEqual(entries.get(entryKey(item.entry)), item));
 }
 
-function reject(catalogue: Catalogue, offset: number, reasons: readonly Rejection[]): Applied {
+function reject(catalogue: Catalogue, offset: number, reasons: readonly Rejection[]): ApplyResult {
 	return {catalogue: catalogue.advance(offset), verdict: {type: 'rejected', reasons}};
 }
 
@@ -150,7 +150,7 @@
 		}
 
 		case 'duplicate': {
-			return `${rejection.entry} stands twice in one change`;
+			return `${rejection.entry} occurs twice in one change`;
 		}
 
 		case 'invalid': {
--- a/src/catalogue/index.ts
+++ b/src/catalogue/index.ts
@@ -1,4 +1,4 @@
-/** The catalogue: what operators publish, and the fold that makes every reader agree on it. */
+/** The catalogue: the configuration that operators publish, and the deterministic fold of its stream of changes. */
 export {
 	entryKey, entrySchema,
 	type ClassEntry, type Entry, type ModelEntry, type ServiceEntry, type WorkspaceEntry,
@@ -11,7 +11,7 @@
 export {findFaults, type Fault} from './validity.js';
 export {
 	applyChange, applyRecord, describeRejection,
-	type Applied, type Difference, type RecordVerdict, type Rejection, type StreamRecord,
+	type ApplyResult, type Difference, type RecordVerdict, type Rejection, type StreamRecord,
 } from './fold.js';
 export {
 	defaultSnapshotSettings, isSnapshotDue, restoreFrom, type SnapshotSettings, type SnapshotState,
--- a/src/catalogue/snapshot.ts
+++ b/src/catalogue/snapshot.ts
@@ -3,8 +3,8 @@
 import {type StreamRecord} from './fold.js';
 
 /**
- * The catalogue to go on from, if this record is a snapshot that a reader can use: the records
- * after the one it covers must still be in the log, whose oldest is `first`.
+ * Restores the catalogue if this record is a usable snapshot: all records after `through`, the last one that
+ * the snapshot covers, must still be in the log, whose oldest offset is `first`.
  */
 export function restoreFrom(record: StreamRecord, first: number): Catalogue | undefined {
 	const parsed = snapshotSchema.safeParse(record.value);
@@ -15,24 +15,24 @@
 	return Catalogue.restore(parsed.data);
 }
 
-/** What a reader has seen of snapshots and of the log's retention. */
+/** The newest snapshot and the log's retention as known to a reader. */
 export type SnapshotState = {
-	/** The newest snapshot in the stream: what it covers, and when the log kept it. */
+	/** The newest snapshot in the stream: the last offset that it covers, and when the log stored it. */
 	readonly latest?: {readonly through: number; readonly time: number};
-	/** The oldest offset that the log still has. */
+	/** The oldest offset that the log retains. */
 	readonly first: number;
 };
 
-/** When a snapshot has to be written. The interval must be under a quarter of the log's retention. */
+/** When a snapshot is due. The interval must be less than a quarter of the log's retention. */
 export type SnapshotSettings = {readonly intervalMilliseconds: number; readonly intervalRecords: number};
 
 /**
- * Ten minutes leave a log that keeps records for an hour with several usable snapshots; 500
- * records are read back in one answer of the log.
+ * With an interval of ten minutes a log that retains records for an hour holds several usable snapshots;
+ * 500 records fit into one response of the log.
  */
 export const defaultSnapshotSettings: SnapshotSettings = {intervalMilliseconds: 600_000, intervalRecords: 500};
 
-/** True if a reader that starts soon could find nothing to start from, or too much to read. */
+/** True if a reader that starts soon could find no usable snapshot, or too many records after it. */
 export function isSnapshotDue(catalogue: Catalogue, state: SnapshotState, now: number, settings = defaultSnapshotSettings): boolean {
 	if (catalogue.offset < 0) {
 		return false;
--- a/src/catalogue/validity.ts
+++ b/src/catalogue/validity.ts
@@ -1,14 +1,14 @@
 import {type RevisedEntry} from './catalogue.js';
 import {entryKey, type ClassEntry, type Entry, type WorkspaceEntry} from './entry.js';
 
-/** A reference between entries that leads nowhere, or a name that two entries claim. */
+/** A reference to an entry that does not exist, or a name or key that two entries share. */
 export type Fault = {readonly entry: string; readonly field: string; readonly message: string};
 
 type Entries = ReadonlyMap<string, RevisedEntry>;
 
 /**
- * What is wrong between the entries of a catalogue; an empty list means it is valid. The order of
- * faults depends on the entries alone, so that every reader reports the same.
+ * Checks the entries of a catalogue against each other; an empty list means that the catalogue is valid. The
+ * order of faults depends only on the entries, so that every reader reports the same.
  */
 export function findFaults(entries: Entries): readonly Fault[] {
 	const faults: Fault[] = [];
@@ -52,7 +52,7 @@
 	for (const [index, key] of entry.keySha256.entries()) {
 		const owner = keyOwners.get(key);
 		if (owner !== undefined) {
-			faults.push(fault(entry, `keySha256.${index}`, `the same key already opens workspace ${owner}`));
+			faults.push(fault(entry, `keySha256.${index}`, `the same key already belongs to workspace ${owner}`));
 		}
 
 		keyOwners.set(key, entry.name);
--- a/test/catalogue/fold.test.ts
+++ b/test/catalogue/fold.test.ts
@@ -10,7 +10,7 @@
 
 const settings = {seed: 5, numRuns: 300};
 
-/** Operators who race: any of a few entries, against any revision that may be current. */
+/** Concurrent changes: any of a few entries, made against any revision that may be current. */
 const entryArbitrary = fc.oneof(
 	fc.tuple(fc.constantFrom('andino', 'stickwerk'), fc.integer({min: 1, max: 3})).map(([name, weight]) => sampleWorkspace(name, weight)[0]!),
 	fc.tuple(fc.constantFrom('andino', 'stickwerk'), fc.constantFrom('chart', 'order')).map(([workspace, name]) => sampleClass(workspace, name)),
@@ -28,15 +28,15 @@
 );
 const streamArbitrary = fc.array(valueArbitrary, {minLength: 1, maxLength: 20}).map(values => stream(...values));
 
-tap.test('any record moves the catalogue on by one, never throws, and leaves it valid', async () => {
+tap.test('any record advances the catalogue by one offset, does not throw, and leaves the catalogue valid', async () => {
 	fc.assert(fc.property(streamArbitrary, records => {
 		let catalogue = Catalogue.empty();
 		for (const record of records) {
 			const before = catalogue;
 			const {catalogue: next, verdict} = applyRecord(before, record);
 			catalogue = next;
-			const kept = verdict.type === 'accepted' || next.entries === before.entries;
-			if (next.offset !== record.offset || findFaults(next.entries).length > 0 || !kept) {
+			const isConsistent = verdict.type === 'accepted' || next.entries === before.entries;
+			if (next.offset !== record.offset || findFaults(next.entries).length > 0 || !isConsistent) {
 				return false;
 			}
 		}
@@ -45,7 +45,7 @@
 	}), settings);
 });
 
-tap.test('repeats, reordering and loss on the way change nothing once every record has come', async () => {
+tap.test('duplicate, reordered and lost deliveries change nothing once every record has been delivered', async () => {
 	const deliveries = streamArbitrary.chain(records => fc.tuple(
 		fc.constant(records),
 		fc.array(fc.nat({max: records.length - 1}), {maxLength: 60}),
@@ -54,8 +54,8 @@
 		let catalogue = Catalogue.empty();
 		for (const index of order) {
 			const {catalogue: next, verdict} = applyRecord(catalogue, records[index]!);
-			const inOrder = index === catalogue.offset + 1;
-			if (inOrder === (verdict.type === 'repeated' || verdict.type === 'gap') || next.offset < catalogue.offset) {
+			const isNext = index === catalogue.offset + 1;
+			if (isNext === (verdict.type === 'repeated' || verdict.type === 'gap') || next.offset < catalogue.offset) {
 				return false;
 			}
 
@@ -72,9 +72,9 @@
 		const covered = fold(records.slice(0, through + 1));
 		const snapshot = {offset: records.length, time: 0, value: structuredClone(covered.snapshot('entry-1'))};
 		const restored = restoreFrom(snapshot, through + 1);
-		const whole = [...records, snapshot];
+		const fullStream = [...records, snapshot];
 		const verdict = applyRecord(fold(records), snapshot).verdict.type;
-		return restored !== undefined && verdict === 'accepted' && same(fold(whole.slice(through + 1), restored), fold(whole));
+		return restored !== undefined && verdict === 'accepted' && same(fold(fullStream.slice(through + 1), restored), fold(fullStream));
 	}), settings);
 });
 
@@ -89,7 +89,7 @@
 	t.equal(afterSecond.catalogue.workspace('andino')?.weight, 2);
 });
 
-tap.test('a change is accepted whole or not at all', async t => {
+tap.test('a change is applied atomically', async t => {
 	const dangling = change(put(sampleModel('menu')), put(sampleClass('nobody', 'chart')));
 	const {catalogue, verdict} = applyRecord(Catalogue.empty(), stream(dangling)[0]!);
 	t.match(verdict, {type: 'rejected', reasons: [{type: 'invalid', entry: 'class:nobody/chart', field: 'name'}]});
@@ -97,7 +97,7 @@
 	t.equal(catalogue.offset, 0);
 });
 
-tap.test('a snapshot that contradicts the folded records is rejected, and one from before retention is not used', async t => {
+tap.test('a snapshot that differs from the folded records is rejected, and one that is older than the retained records is not used', async t => {
 	const records = stream(change(put(sampleModel('menu'))));
 	const catalogue = fold(records);
 	const wrong = {...catalogue.snapshot('entry-1'), entries: []};
--- a/test/catalogue/sample.ts
+++ b/test/catalogue/sample.ts
@@ -2,7 +2,7 @@
 	applyRecord, Catalogue, type Change, type Entry, type ModelEntry, type Operation, type StreamRecord,
 } from '../../src/catalogue/index.js';
 
-/** A workspace with one class, which together are valid. */
+/** A workspace and its default class, which together are a valid catalogue. */
 export function sampleWorkspace(name: string, weight = 1): Entry[] {
 	return [
 		{kind: 'workspace', name, owner: 'operations', weight, keySha256: [], defaultClass: 'chart'},
