--- a/src/concurrency/alarm.ts
+++ b/src/concurrency/alarm.ts
@@ -1,13 +1,13 @@
 import {type Channel} from 'js-csp';
 import {tryDeliver} from './operations.js';
 
-/** What an alarm puts into its inbox. */
+/** The event that an `Alarm` puts into its inbox when it fires. */
 export type AlarmEvent = {readonly type: 'alarm'};
 
 /**
- * The one timer of a request. Failure: an alarm that fired just before it was set anew still waits
- * in the inbox. Symptom: an attempt that makes progress is given up. `hasFired` is false again from
- * the moment that the alarm is set, so whoever takes the event can tell that it is stale.
+ * The single timer of a request. If the timer fires just before it is reset, its event is still queued in
+ * the inbox, and acting on it would abort an attempt that makes progress. `set` therefore clears `hasFired`,
+ * so that the receiver of the event can tell that it is stale.
  */
 export class Alarm implements Disposable {
 	static create(inbox: Channel<AlarmEvent>): Alarm {
@@ -27,7 +27,7 @@
 		return this.#fired;
 	}
 
-	/** Fires so long from now, and no earlier; replaces what was set before. */
+	/** Starts or restarts the timer: it fires after `milliseconds` and no earlier; an earlier setting is replaced. */
 	set(milliseconds: number): void {
 		this.#fired = false;
 		if (this.#timer !== undefined && this.#milliseconds === milliseconds) {
--- a/src/concurrency/index.ts
+++ b/src/concurrency/index.ts
@@ -1,4 +1,4 @@
-/** Processes and channels: js-csp with types, supervision and bounded buffers. */
+/** Processes and channels: typed js-csp with supervision and bounded buffers. */
 export {spawn, type Body, type OnFailure} from './process.js';
 export {
 	channel, deliver, receive, receiveWithin, send, sleep, tryDeliver, tryReceive, wait, type Selected,
--- a/src/concurrency/js-csp.d.ts
+++ b/src/concurrency/js-csp.d.ts
@@ -1,6 +1,6 @@
-/** Typings of the part of js-csp that this project uses; the library ships none. */
+/** Type declarations for the part of js-csp that this project uses; the library ships none. */
 declare module 'js-csp' {
-	/** A value that a channel never carries: a take that yields it found the channel closed. */
+	/** The result of a take from a closed channel; never a value that a channel carries. */
 	export const CLOSED: undefined;
 	export const DEFAULT: unique symbol;
 
--- a/src/concurrency/operations.ts
+++ b/src/concurrency/operations.ts
@@ -1,41 +1,41 @@
 import csp, {type Channel} from 'js-csp';
 import {type Body} from './process.js';
 
-/** Makes a channel that holds at most `capacity` values before its writers wait. */
+/** Creates a channel that buffers at most `capacity` values; further writers wait. */
 export function channel<Value>(capacity: number): Channel<Value> {
 	return csp.chan<Value>(capacity);
 }
 
-/** Waits for the next value; `undefined` says that the channel is closed and empty. */
+/** Waits for the next value; returns `undefined` if the channel is closed and empty. */
 export function * receive<Value>(source: Channel<Value>): Body<Value | undefined> {
 	const value = (yield csp.take(source)) as Value | typeof csp.CLOSED;
 	return value === csp.CLOSED ? undefined : value;
 }
 
-/** Waits until the channel takes the value; false says that the channel was closed. */
+/** Waits until the channel accepts the value; returns false if the channel was closed. */
 export function * send<Value>(target: Channel<Value>, value: Value): Body<boolean> {
 	return (yield csp.put(target, value)) as boolean;
 }
 
-/** Hands over the value only if that needs no waiting; false says the channel is full or closed. */
+/** Puts the value into the channel without waiting; returns false if the channel is full or closed. */
 export function tryDeliver<Value>(target: Channel<Value>, value: Value): boolean {
 	return !target.closed && csp.offer(target, value);
 }
 
-/** Takes a value only if one is there. */
+/** Takes a value without waiting; returns `undefined` if none is buffered. */
 export function tryReceive<Value>(source: Channel<Value>): Value | undefined {
 	const value = csp.poll(source);
 	return value === csp.NO_VALUE || (value as unknown) === csp.CLOSED ? undefined : value;
 }
 
-/** Suspends the process for a time in milliseconds. */
+/** Suspends the process for `milliseconds`. */
 export function * sleep(milliseconds: number): Body<void> {
 	yield csp.take(csp.timeout(milliseconds));
 }
 
 type Settled<Value> = {ok: true; value: Value} | {ok: false; error: unknown};
 
-/** Waits for a promise; a rejection is thrown inside the process. */
+/** Waits for a promise; a rejection is rethrown inside the process. */
 export function * wait<Value>(promise: Promise<Value>): Body<Value> {
 	const settled = csp.chan<Settled<Value>>(1);
 	promise.then(
@@ -54,13 +54,13 @@
 	return result.value;
 }
 
-/** What a wait over two channels met first. */
+/** The result of a wait with a timeout: whichever came first. */
 export type Selected<Value>
 	= | {type: 'value'; value: Value}
 		| {type: 'closed'}
 		| {type: 'timeout'};
 
-/** Waits for the next value, but no longer than `milliseconds`. */
+/** Waits for the next value, for at most `milliseconds`. */
 export function * receiveWithin<Value>(source: Channel<Value>, milliseconds: number): Body<Selected<Value>> {
 	const ready = tryReceive(source);
 	if (ready !== undefined) {
@@ -77,14 +77,15 @@
 }
 
 /**
- * Hands over a value even if the channel is full: false says that it waits, and `onRoom` is called
- * when it was taken. The caller must stop producing until then, as a paused socket does.
+ * Puts a value into the channel even if the channel is full. Returns false if the put is pending; `onAccepted`
+ * is then called once the channel has accepted the value. The caller must stop producing until then, for
+ * example by pausing its socket. A value for a closed channel is dropped.
  */
-export function deliver<Value>(target: Channel<Value>, value: Value, onRoom: () => void): boolean {
+export function deliver<Value>(target: Channel<Value>, value: Value, onAccepted: () => void): boolean {
 	if (target.closed || tryDeliver(target, value)) {
 		return true;
 	}
 
-	csp.putAsync(target, value, onRoom);
+	csp.putAsync(target, value, onAccepted);
 	return false;
 }
--- a/src/concurrency/process.ts
+++ b/src/concurrency/process.ts
@@ -6,13 +6,13 @@
  */
 export type Body<Result> = Generator<unknown, Result, unknown>;
 
-/** What becomes of a process whose body threw. The default ends the program. */
+/** Handles an error that a process body threw. The default terminates the program. */
 export type OnFailure = (name: string, error: unknown) => void;
 
 /**
- * Failure: a throw inside a js-csp goroutine surfaces in a timer callback, without a name, or is
- * swallowed by a channel that nobody reads. Symptom: a request or a connection that never ends.
- * Every process is therefore started here, and a throw rejects `done` and is reported once, by name.
+ * Starts a process under supervision; the promise settles with its result. An error inside a plain js-csp
+ * goroutine surfaces in a timer callback without a name, or is lost in a channel without a reader, so that
+ * a request or a connection never ends. Here it rejects the promise and is reported once, with the process name.
  */
 export function spawn<Result>(name: string, body: () => Body<Result>, onFailure: OnFailure = endProgram): Promise<Result> {
 	return new Promise<Result>((resolve, reject) => {
--- a/test/concurrency/alarm.test.ts
+++ b/test/concurrency/alarm.test.ts
@@ -2,9 +2,9 @@
 import {channel, receive, spawn, Alarm} from '../../src/concurrency/index.js';
 import {type RequestEvent} from '../../src/entry/request-event.js';
 
-// The caller would see its stream given up although tokens flow: the alarm fires, and before its
-// event is read a chunk comes and the alarm is set anew. The event must then count as stale.
-tap.test('an alarm that was set anew has not fired', async t => {
+// The alarm fires, and before its event is read a chunk arrives and resets the alarm. The event must then
+// count as stale; otherwise the stream is aborted although tokens arrive.
+tap.test('resetting an alarm clears hasFired', async t => {
 	const inbox = channel<RequestEvent>(4);
 	using alarm = Alarm.create(inbox);
 	alarm.set(0);
