--- a/src/wire/connection.ts
+++ b/src/wire/connection.ts
@@ -4,58 +4,58 @@
 import {encodeFrame, FrameDecoder} from './frames.js';
 import {type Message} from './messages.js';
 
-/** Turns of arrived messages that may wait for the reader before the socket is paused. */
-const incomingTurns = 32;
+/** Received batches, one per turn of the event loop, that may be queued for the reader before the socket is paused. */
+const maximumQueuedBatches = 32;
 /**
- * Failure: a peer stops reading, and what we send it piles up here. Symptom: memory grows without
- * bound. Streams are bounded by credit, so only a peer that reads nothing at all gets this far;
- * closing its connection frees the memory and turns its requests into failures with a verdict.
+ * Without this bound, a peer that stops reading makes the send buffer grow without limit. Streams are bounded
+ * by credit, so only a peer that reads nothing at all reaches it; closing its connection frees the memory and
+ * fails its requests with a verdict.
  */
 const maximumUnsentBytes = 64 * 1024 * 1024;
-/** A peer is taken for lost when nothing has come from it for so long. */
+/** A peer on a busy connection is considered lost when nothing has been received from it for this time. */
 export const silenceMilliseconds = 6000;
-/** The same for a connection that carries no request: nobody waits on it, and heartbeats are rare there. */
+/** The same for a connection that carries no request: nothing depends on it, and its heartbeats are infrequent. */
 export const idleSilenceMilliseconds = 45_000;
-/** How often a heartbeat goes over a connection that carries requests. */
+/** Heartbeat interval of a connection that carries requests. */
 export const busyHeartbeatMilliseconds = 2000;
 
-/** How often a busy connection beats, and after which silence its peer is taken for lost, in milliseconds. */
+/** Heartbeat interval of a busy connection, and the silence after which its peer is considered lost, in milliseconds. */
 export type BusyTimes = {readonly heartbeatMilliseconds: number; readonly silenceMilliseconds: number};
 
-const usualBusyTimes: BusyTimes = {heartbeatMilliseconds: busyHeartbeatMilliseconds, silenceMilliseconds};
+const defaultBusyTimes: BusyTimes = {heartbeatMilliseconds: busyHeartbeatMilliseconds, silenceMilliseconds};
 const idleHeartbeatMilliseconds = 15_000;
-/** A process with many connections sends no more than 25 idle heartbeats a second over all of them. */
+/** Limits a process with many connections to 25 idle heartbeats a second over all of them. */
 const heartbeatSpacingMilliseconds = 40;
 
-/** How often a heartbeat goes over one of so many connections that carry no request. */
+/** Heartbeat interval, in milliseconds, of each idle connection of a process that has this many connections. */
 export function idleHeartbeatInterval(connections: number): number {
 	return Math.min(Math.max(connections * heartbeatSpacingMilliseconds, busyHeartbeatMilliseconds), idleHeartbeatMilliseconds);
 }
 
 /**
- * One connection between two of our processes. `incoming` carries the messages of each turn of the
- * event loop in one array, in order; it closes when the connection ends, for whatever reason, and
- * `closeReason` then tells why. Messages sent in one turn leave in one write.
+ * A connection between two processes of the system. `incoming` carries the messages received in each turn of
+ * the event loop as one array, in order; it closes when the connection ends for any reason, which `closeReason`
+ * then holds. Messages sent in one turn are written together.
  */
 export class Connection implements AsyncDisposable {
 	static create(socket: Duplex, peer: string): Connection {
 		return new Connection(socket, peer);
 	}
 
-	readonly incoming: Channel<Message[]> = channel<Message[]>(incomingTurns);
+	readonly incoming: Channel<Message[]> = channel<Message[]>(maximumQueuedBatches);
 	readonly closed: Promise<void>;
 	readonly peer: string;
 	closeReason = 'closed';
-	/** Bytes and messages so far, for the metrics. */
+	/** Total bytes and messages, for the metrics. */
 	readonly counts = {sentMessages: 0, sentBytes: 0, receivedMessages: 0, receivedBytes: 0};
 	readonly #socket: Duplex;
 	readonly #decoder = FrameDecoder.create();
 	#unsent: Uint8Array[] = [];
-	#heardAt = performance.now();
-	/** Spread, so that connections made in one moment don't all beat in one moment. */
-	#heartbeatAt = performance.now() - (Math.random() * idleHeartbeatMilliseconds);
+	#lastReceivedAt = performance.now();
+	/** Starts at a random offset, so that connections opened at the same time don't send their heartbeats at the same time. */
+	#lastHeartbeatAt = performance.now() - (Math.random() * idleHeartbeatMilliseconds);
 	#isBusy = false;
-	#busyTimes = usualBusyTimes;
+	#busyTimes = defaultBusyTimes;
 	readonly #silenceCheck: NodeJS.Timeout;
 
 	private constructor(socket: Duplex, peer: string) {
@@ -84,33 +84,33 @@
 	}
 
 	/**
-	 * Tells whether requests depend on this connection. Both ends then send heartbeats often and take
-	 * silence for loss soon, counted from now: until now none were due.
+	 * Sets whether requests depend on this connection. If so, both ends use the shorter heartbeat interval and
+	 * silence timeout. The timeout counts from this call, because frequent heartbeats were not due before.
 	 */
-	setBusy(isBusy: boolean, times: BusyTimes = usualBusyTimes): void {
+	setBusy(isBusy: boolean, times: BusyTimes = defaultBusyTimes): void {
 		this.#busyTimes = times;
 		if (isBusy && !this.#isBusy) {
-			this.#heardAt = performance.now();
+			this.#lastReceivedAt = performance.now();
 		}
 
 		this.#isBusy = isBusy;
 	}
 
-	/** True if a heartbeat is due, which then counts as sent; `connections` is how many the process has. Closes a silent one. */
+	/** Returns whether a heartbeat is due, and counts it as sent; `connections` is the process's number of connections. Closes a silent connection. */
 	takeHeartbeat(connections: number): boolean {
 		const now = performance.now();
 		this.#checkSilence();
-		if (now - this.#heartbeatAt < (this.#isBusy ? this.#busyTimes.heartbeatMilliseconds : idleHeartbeatInterval(connections))) {
+		if (now - this.#lastHeartbeatAt < (this.#isBusy ? this.#busyTimes.heartbeatMilliseconds : idleHeartbeatInterval(connections))) {
 			return false;
 		}
 
-		this.#heartbeatAt = now;
+		this.#lastHeartbeatAt = now;
 		return true;
 	}
 
 	/**
-	 * Queues a message; it leaves at the end of this turn of the event loop, after every socket that
-	 * was ready has been read, in one write with the others. A closed connection drops it.
+	 * Queues a message. It is written at the end of this turn of the event loop, after all ready sockets have
+	 * been read, together with the other queued messages. A closed connection drops it.
 	 */
 	send(message: Message): void {
 		if (!this.#socket.destroyed) {
@@ -118,7 +118,7 @@
 		}
 	}
 
-	/** The same for a message that is encoded already: one that goes to many peers is encoded once. */
+	/** Queues an encoded message, so that a message to many peers is encoded once. */
 	sendFrame(frame: Uint8Array): void {
 		if (this.#socket.destroyed) {
 			return;
@@ -135,7 +135,7 @@
 		this.#unsent.push(frame);
 	}
 
-	/** Ends the connection at once; the peer sees it break. */
+	/** Destroys the connection immediately; the peer sees it break. */
 	close(reason: string): void {
 		if (this.#socket.destroyed) {
 			return;
@@ -146,15 +146,15 @@
 		this.#socket.destroy();
 	}
 
-	/** Sends what waits, then ends the connection. */
+	/** Flushes the queued messages, then ends the connection. */
 	async [Symbol.asyncDispose](): Promise<void> {
 		this.#flush();
 		this.#socket.end();
-		const patience = setTimeout(() => {
+		const timer = setTimeout(() => {
 			this.#socket.destroy();
 		}, 500);
 		await this.closed;
-		clearTimeout(patience);
+		clearTimeout(timer);
 	}
 
 	#flush(): void {
@@ -171,7 +171,7 @@
 	}
 
 	#receive(bytes: Uint8Array): void {
-		this.#heardAt = performance.now();
+		this.#lastReceivedAt = performance.now();
 		this.counts.receivedBytes += bytes.byteLength;
 		let messages: Message[];
 		try {
@@ -183,11 +183,11 @@
 
 		if (messages.length > 0) {
 			this.counts.receivedMessages += messages.length;
-			this.#pass(messages);
+			this.#enqueue(messages);
 		}
 	}
 
-	#pass(messages: Message[]): void {
+	#enqueue(messages: Message[]): void {
 		const accepted = deliver(this.incoming, messages, () => {
 			this.#socket.resume();
 		});
@@ -197,17 +197,17 @@
 	}
 
 	/**
-	 * Failure: the peer's instance vanished and no packet says so. Symptom: requests wait for ever on
-	 * a half-open connection. Both ends send heartbeats well within the bound, so silence means loss;
-	 * while we ourselves have paused the socket, silence says nothing and is not counted.
+	 * Closes the connection if the peer has been silent for too long. If an instance vanishes without closing
+	 * its sockets, requests would otherwise wait forever on a half-open connection. Both ends send heartbeats well
+	 * within the timeout. Time during which this process has paused the socket does not count as silence.
 	 */
 	#checkSilence(): void {
 		if (this.#socket.isPaused()) {
-			this.#heardAt = performance.now();
+			this.#lastReceivedAt = performance.now();
 			return;
 		}
 
-		if (performance.now() - this.#heardAt > (this.#isBusy ? this.#busyTimes.silenceMilliseconds : idleSilenceMilliseconds)) {
+		if (performance.now() - this.#lastReceivedAt > (this.#isBusy ? this.#busyTimes.silenceMilliseconds : idleSilenceMilliseconds)) {
 			this.close('the peer is silent');
 		}
 	}
--- a/src/wire/frames.ts
+++ b/src/wire/frames.ts
@@ -4,16 +4,16 @@
 
 /** The largest payload of one frame, in bytes; a longer one closes the connection. */
 export const maximumFrameBytes = 8 * 1024 * 1024;
-/** The largest part of a service's body that travels in one message, in bytes. */
+/** The largest chunk of a service's body in one message, in bytes. */
 export const maximumPartBytes = 64 * 1024;
 const lengthBytes = 4;
 
 const codec = new Encoder({useRecords: false, mapsAsObjects: true, tagUint8Array: false});
 
-/** Why a peer's bytes were not a message. The connection is closed on any of them. */
+/** Why received bytes are not a valid message. Each of these closes the connection. */
 export type FrameFault = 'oversized' | 'malformed' | 'unknown-message';
 
-/** Thrown by the decoder; the bytes after it can't be trusted. */
+/** Thrown for an invalid or oversized frame; a decoder must not be used after it, since the bytes that follow can't be trusted. */
 export class FrameError extends Error {
 	static create(fault: FrameFault, detail: string): FrameError {
 		return new FrameError(fault, detail);
@@ -28,7 +28,7 @@
 	}
 }
 
-/** One message as bytes: a four-byte length, then CBOR. */
+/** Encodes a message as a frame: a four-byte big-endian length, then CBOR. Throws `FrameError` if the payload is too large. */
 export function encodeFrame(message: Message): Uint8Array {
 	const payload = codec.encode(message);
 	if (payload.byteLength > maximumFrameBytes) {
@@ -42,34 +42,34 @@
 }
 
 /**
- * Cuts a byte stream into messages. Bytes may come in any portions; what is returned is checked
- * against the schema, so the rest of the program meets only well-formed messages.
+ * Decodes a byte stream into messages. The bytes may arrive in chunks of any size. Messages are validated
+ * against the schema, so the rest of the program handles only well-formed ones; the rows of `load` are the exception.
  */
 export class FrameDecoder {
 	static create(): FrameDecoder {
 		return new FrameDecoder();
 	}
 
-	#parts: Uint8Array[] = [];
-	#buffered = 0;
-	#wanted = lengthBytes;
+	#chunks: Uint8Array[] = [];
+	#bufferedBytes = 0;
+	#requiredBytes = lengthBytes;
 
-	/** Takes the next bytes and gives the messages that are complete. Throws `FrameError`. */
+	/** Adds received bytes and returns the messages that are now complete. Throws `FrameError`. */
 	push(bytes: Uint8Array): Message[] {
-		this.#parts.push(bytes);
-		this.#buffered += bytes.byteLength;
-		return this.#buffered < this.#wanted ? [] : this.#drain();
+		this.#chunks.push(bytes);
+		this.#bufferedBytes += bytes.byteLength;
+		return this.#bufferedBytes < this.#requiredBytes ? [] : this.#decodeBuffered();
 	}
 
-	#drain(): Message[] {
-		const buffer = this.#parts.length === 1 ? Buffer.from(this.#parts[0]!.buffer, this.#parts[0]!.byteOffset, this.#parts[0]!.byteLength) : Buffer.concat(this.#parts);
+	#decodeBuffered(): Message[] {
+		const buffer = this.#chunks.length === 1 ? Buffer.from(this.#chunks[0]!.buffer, this.#chunks[0]!.byteOffset, this.#chunks[0]!.byteLength) : Buffer.concat(this.#chunks);
 		const messages: Message[] = [];
 		let position = 0;
-		this.#wanted = lengthBytes;
+		this.#requiredBytes = lengthBytes;
 		while (buffer.byteLength - position >= lengthBytes) {
 			const length = payloadLength(buffer, position);
 			if (buffer.byteLength - position < lengthBytes + length) {
-				this.#wanted = lengthBytes + length;
+				this.#requiredBytes = lengthBytes + length;
 				break;
 			}
 
@@ -77,13 +77,13 @@
 			position += lengthBytes + length;
 		}
 
-		this.#keep(buffer.subarray(position));
+		this.#retain(buffer.subarray(position));
 		return messages;
 	}
 
-	#keep(rest: Uint8Array): void {
-		this.#parts = rest.byteLength === 0 ? [] : [rest];
-		this.#buffered = rest.byteLength;
+	#retain(rest: Uint8Array): void {
+		this.#chunks = rest.byteLength === 0 ? [] : [rest];
+		this.#bufferedBytes = rest.byteLength;
 	}
 }
 
@@ -97,8 +97,8 @@
 }
 
 /**
- * Load is nine of ten messages between gateways, and whoever takes it checks each row by hand. Failure: the schema goes through the same
- * rows before. Symptom: a small instance among many spends time there that its callers need.
+ * Exempts load messages from schema validation: nine of ten messages between gateways are load, and their receiver
+ * validates each row itself. Validating the rows twice costs a small instance among many processor time that its callers need.
  */
 function isLoad(value: unknown): value is MessageOf<'load'> {
 	const {type, rows} = (value ?? {}) as Partial<MessageOf<'load'>>;
--- a/src/wire/index.ts
+++ b/src/wire/index.ts
@@ -1,4 +1,4 @@
-/** Frames, messages and connections between our own processes. */
+/** Frames, messages and connections between the processes of the system. */
 export {encodeFrame, FrameDecoder, FrameError, maximumFrameBytes, maximumPartBytes, type FrameFault} from './frames.js';
 export {
 	isGatewayMessage, messageSchema, protocolVersion, type Message, type GatewayMessage, type MessageOf, type StreamMessage,
--- a/src/wire/transport.ts
+++ b/src/wire/transport.ts
@@ -4,14 +4,14 @@
 import {splitAddress} from '../model/index.js';
 import {Connection} from './connection.js';
 
-/** Who may talk to whom. Plain text must be asked for by name. */
+/** Transport security between processes. Plain text must be configured explicitly. */
 export type Security
 	= | {readonly type: 'plaintext'}
 		| {readonly type: 'mutual-tls'; readonly certificate: string; readonly key: string; readonly authority: string};
 
-const dialMilliseconds = 2000;
+const dialTimeoutMilliseconds = 2000;
 
-/** Accepts connections from peers. With mutual TLS, one without our authority's certificate gets nothing. */
+/** Accepts connections from peers. With mutual TLS, a peer without a certificate signed by the configured authority is rejected. */
 export class Listener implements AsyncDisposable {
 	static async create(options: {host: string; port: number; security: Security; onConnection: (connection: Connection) => void; onRefused?: (reason: string) => void}): Promise<Listener> {
 		const accept = (socket: net.Socket): void => {
@@ -25,7 +25,7 @@
 		return new Listener(server, options.host);
 	}
 
-	/** IP number and port, as others reach us. */
+	/** IP address and port at which peers connect to this process. */
 	readonly address: string;
 	readonly #server: net.Server;
 
@@ -49,15 +49,15 @@
 	return server;
 }
 
-/** Connects to a peer. Rejects if it does not answer or its certificate is not our authority's. */
+/** Connects to a peer. Rejects if the peer does not respond in time or its certificate is not signed by the configured authority. */
 export async function dial(address: string, security: Security): Promise<Connection> {
 	const {host, port} = splitAddress(address);
 	const socket = security.type === 'plaintext'
 		? net.connect({host, port})
 		: tls.connect({
-			host, port, cert: security.certificate, key: security.key, ca: security.authority, minVersion: 'TLSv1.3', checkServerIdentity: trustAuthority,
+			host, port, cert: security.certificate, key: security.key, ca: security.authority, minVersion: 'TLSv1.3', checkServerIdentity: skipHostNameCheck,
 		});
-	const signal = AbortSignal.timeout(dialMilliseconds);
+	const signal = AbortSignal.timeout(dialTimeoutMilliseconds);
 	try {
 		await once(socket, security.type === 'plaintext' ? 'connect' : 'secureConnect', {signal});
 	} catch (error) {
@@ -69,7 +69,7 @@
 	return Connection.create(socket, address);
 }
 
-/** Instances are met by IP number and replaced at any time: the authority's signature is the identity. */
-function trustAuthority(): undefined {
+/** Replaces the host name check: instances are addressed by IP number and replaced at any time, so the authority's signature is their identity. */
+function skipHostNameCheck(): undefined {
 	return undefined;
 }
--- a/test/wire/frames.test.ts
+++ b/test/wire/frames.test.ts
@@ -16,13 +16,13 @@
 	fc.record({type: fc.constant('head' as const), stream, request, status: fc.nat(), headers: fc.dictionary(fc.constantFrom('content-type', 'etag', 'x-one'), text)}),
 );
 
-/** Feeds bytes in portions; gives what came out, or the fault. Any other error is thrown on. */
-function decode(bytes: Uint8Array, portions: readonly number[]): {messages: Message[]; fault?: FrameError} {
+/** Feeds bytes in chunks; returns the decoded messages and the frame error, if any. Any other error is rethrown. */
+function decode(bytes: Uint8Array, chunkSizes: readonly number[]): {messages: Message[]; fault?: FrameError} {
 	const decoder = FrameDecoder.create();
 	const decoded: Message[] = [];
 	try {
 		for (let position = 0, turn = 0; position < bytes.length; turn++) {
-			const length = portions[turn % portions.length]!;
+			const length = chunkSizes[turn % chunkSizes.length]!;
 			decoded.push(...decoder.push(bytes.subarray(position, position + length)));
 			position += length;
 		}
@@ -37,36 +37,36 @@
 	return {messages: decoded};
 }
 
-const portions = fc.array(fc.integer({min: 1, max: 400}), {minLength: 1, maxLength: 8});
+const chunkSizes = fc.array(fc.integer({min: 1, max: 400}), {minLength: 1, maxLength: 8});
 
-tap.test('messages arrive whole and in order, in whatever portions the bytes come', async t => {
-	fc.assert(fc.property(fc.array(messages, {maxLength: 8}), portions, (sent, sizes) => {
+tap.test('messages are decoded completely and in order, however the bytes are chunked', async t => {
+	fc.assert(fc.property(fc.array(messages, {maxLength: 8}), chunkSizes, (sent, sizes) => {
 		const result = decode(Buffer.concat(sent.map(message => encodeFrame(message))), sizes);
 		t.equal(result.fault, undefined);
 		t.same(result.messages.map(message => plain(message)), sent.map(message => plain(message)));
 	}), {seed: 5, numRuns: 300});
 });
 
-tap.test('fuzz: any bytes give messages or a frame fault, and nothing else', async t => {
+tap.test('fuzz: any bytes decode to messages or raise a FrameError, and nothing else', async t => {
 	const framed = fc.uint8Array({maxLength: 200}).map(payload => Buffer.concat([lengthOf(payload.length), payload]));
-	fc.assert(fc.property(fc.oneof(fc.uint8Array({maxLength: 300}), framed), portions, (bytes, sizes) => {
+	fc.assert(fc.property(fc.oneof(fc.uint8Array({maxLength: 300}), framed), chunkSizes, (bytes, sizes) => {
 		decode(bytes, sizes);
 	}), {seed: 6, numRuns: 5000});
-	t.pass('no other error came up');
+	t.pass('no other error was thrown');
 });
 
-tap.test('fuzz: a frame with a changed byte is a message or a fault; a truncated one is never a message', async t => {
-	fc.assert(fc.property(messages, fc.nat(), fc.integer({min: 0, max: 255}), (message, place, value) => {
+tap.test('fuzz: a frame with a changed byte is a message or a FrameError; a truncated frame is never a message', async t => {
+	fc.assert(fc.property(messages, fc.nat(), fc.integer({min: 0, max: 255}), (message, offset, value) => {
 		const frame = encodeFrame(message);
-		t.same(decode(frame.subarray(0, place % frame.length), [50]).messages, []);
+		t.same(decode(frame.subarray(0, offset % frame.length), [50]).messages, []);
 		const changed = Uint8Array.from(frame);
-		changed[place % frame.length] = value;
+		changed[offset % frame.length] = value;
 		decode(changed, [50]);
 	}), {seed: 7, numRuns: 2000});
 });
 
-tap.test('a length, a type or a nesting that no peer of ours sends is a fault at once', async t => {
-	t.equal(decode(lengthOf(maximumFrameBytes + 1), [4]).fault?.fault, 'oversized', 'before any payload is waited for');
+tap.test('an oversized length, an unknown type or excessive nesting is a FrameError at once', async t => {
+	t.equal(decode(lengthOf(maximumFrameBytes + 1), [4]).fault?.fault, 'oversized', 'before any payload is awaited');
 	const unknown = Buffer.from([0xA1, 0x64, 0x74, 0x79, 0x70, 0x65, 0x63, 0x66, 0x6F, 0x6F]);
 	t.equal(decode(Buffer.concat([lengthOf(unknown.length), unknown]), [99]).fault?.fault, 'unknown-message', '{type: "foo"}');
 	const hugeArray = Buffer.from([0x9B, 0, 0, 0, 0, 0xFF, 0xFF, 0xFF, 0xFF]);
@@ -81,7 +81,7 @@
 	return bytes;
 }
 
-/** Bytes as plain arrays, so that a Buffer equals the Uint8Array it was made from. */
+/** Converts bytes to plain arrays, so that a Buffer equals the Uint8Array that it was made from. */
 function plain(message: Message): unknown {
 	return 'bytes' in message ? {...message, bytes: [...message.bytes]} : message;
 }
