--- a/src/bin/cassiaflow-entry.ts
+++ b/src/bin/cassiaflow-entry.ts
@@ -33,7 +33,7 @@
 	});
 	await using quarantine = QuarantineLedger.create({log: HttpLogClient.create(platform(settings.logUrl)), onLog});
 	await using claims = ClaimManager.create({log: HttpLogClient.create(platform(settings.logUrl)), instance});
-	const metrics = Metrics.create({role: 'entry', ofProcess: true});
+	const metrics = Metrics.create({role: 'entry', includesProcessMetrics: true});
 	const journal = DecisionJournal.create();
 	await using entry = await Entry.create({
 		telemetry: EntryTelemetry.create(metrics, journal),
--- a/src/bin/cassiaflow-side.ts
+++ b/src/bin/cassiaflow-side.ts
@@ -27,7 +27,7 @@
 	const logger = createLogger({name: sideSettings.program, level: settings.logLevel, fields: {instance, endpoint: settings.endpoint}});
 	const log = forPart(logger, 'Side');
 	const catalogueLog = forPart(logger, 'Catalogue');
-	const metrics = Metrics.create({role: 'side', ofProcess: true});
+	const metrics = Metrics.create({role: 'side', includesProcessMetrics: true});
 	const violations = metrics.counter('violations_total', 'Broken rules of the queue.', ['rule']);
 	const onLog = (message: string): void => {
 		catalogueLog.warn(message);
--- a/src/telemetry/admin-server.ts
+++ b/src/telemetry/admin-server.ts
@@ -4,47 +4,47 @@
 import {type AddressInfo} from 'node:net';
 import {type Metrics} from './metrics.js';
 
-/** What a JSON route is asked. */
+/** A request to a JSON route. */
 export type AdminRequest = {
-	/** What follows the route's prefix, decoded, without a leading slash. */
+	/** The decoded path after the route's prefix, without a leading slash. */
 	readonly rest: string;
 	readonly query: URLSearchParams;
-	/** The parsed body of a POST; undefined without one. */
+	/** The parsed body of a POST request; undefined if it is empty. */
 	readonly body: unknown;
 };
 
-export type AdminAnswer = {
+export type AdminResponse = {
 	readonly status: number;
 	readonly value: unknown;
 };
 
-/** A JSON route of another part, found by method and path prefix; the longest prefix wins. */
+/** A JSON route that another part adds, matched by method and path prefix; the longest prefix wins. */
 export type AdminRoute = {
 	readonly method: 'GET' | 'POST';
 	readonly prefix: string;
-	handle(request: AdminRequest): AdminAnswer | Promise<AdminAnswer>;
+	handle(request: AdminRequest): AdminResponse | Promise<AdminResponse>;
 };
 
 type AdminOptions = {
 	readonly host: string;
-	/** 0 for any free port. */
+	/** The TCP port; 0 selects any free one. */
 	readonly port: number;
 	readonly metrics: Metrics;
 	readonly routes?: readonly AdminRoute[];
-	/** Where the balancer asks, if its path is its own. */
+	/** A second path for the readiness check, if the balancer uses its own. */
 	readonly readyPath?: string;
-	/** Whether the balancer should send requests here. */
+	/** Tells whether the balancer should send requests to this instance. */
 	isReady(): boolean;
 };
 
 const bodyLimitBytes = 1_000_000;
 
-/** A process's port for operators and the platform. It is kept apart from callers' traffic. */
+/** The HTTP server for operators and the platform, on a port separate from callers' traffic. */
 export class AdminServer implements AsyncDisposable {
 	static async create(options: AdminOptions): Promise<AdminServer> {
 		const routes = [...options.routes ?? []].toSorted((first, second) => second.prefix.length - first.prefix.length);
 		const server = createServer((request, response) => {
-			void answer(request, response, {...options, routes});
+			void handleRequest(request, response, {...options, routes});
 		});
 		server.listen(options.port, options.host);
 		await once(server, 'listening');
@@ -69,7 +69,7 @@
 	}
 }
 
-async function answer(request: IncomingMessage, response: ServerResponse, options: AdminOptions & {routes: readonly AdminRoute[]}): Promise<void> {
+async function handleRequest(request: IncomingMessage, response: ServerResponse, options: AdminOptions & {routes: readonly AdminRoute[]}): Promise<void> {
 	const url = new URL(request.url ?? '/', 'http://admin');
 	switch (url.pathname) {
 		case '/healthz': {
@@ -90,15 +90,15 @@
 		}
 
 		default: {
-			await answerRoute(request, response, {url, routes: options.routes});
+			await handleRoute(request, response, {url, routes: options.routes});
 		}
 	}
 }
 
-async function answerRoute(request: IncomingMessage, response: ServerResponse, {url, routes}: {url: URL; routes: readonly AdminRoute[]}): Promise<void> {
+async function handleRoute(request: IncomingMessage, response: ServerResponse, {url, routes}: {url: URL; routes: readonly AdminRoute[]}): Promise<void> {
 	const route = routes.find(candidate => candidate.method === request.method && matches(url.pathname, candidate.prefix));
 	if (route === undefined) {
-		sendJson(response, {status: 404, value: errorValue('There is nothing at this path.')});
+		sendJson(response, {status: 404, value: errorValue('No route matches this method and path.')});
 		return;
 	}
 
@@ -107,8 +107,8 @@
 		const rest = decodeURIComponent(url.pathname.slice(route.prefix.length).replace(/^\//v, ''));
 		sendJson(response, await route.handle({rest, query: url.searchParams, body}));
 	} catch (error) {
-		const wrongInput = error instanceof SyntaxError || error instanceof URIError || error instanceof RangeError;
-		sendJson(response, {status: wrongInput ? 400 : 500, value: errorValue(error instanceof Error ? error.message : 'The route failed.')});
+		const isInvalidInput = error instanceof SyntaxError || error instanceof URIError || error instanceof RangeError;
+		sendJson(response, {status: isInvalidInput ? 400 : 500, value: errorValue(error instanceof Error ? error.message : 'The route failed.')});
 	}
 }
 
@@ -140,7 +140,7 @@
 	response.end(text);
 }
 
-function sendJson(response: ServerResponse, {status, value}: AdminAnswer): void {
+function sendJson(response: ServerResponse, {status, value}: AdminResponse): void {
 	response.writeHead(status, {'Content-Type': 'application/json'});
 	response.end(`${JSON.stringify(value)}\n`);
 }
--- a/src/telemetry/journal/decision-journal.ts
+++ b/src/telemetry/journal/decision-journal.ts
@@ -1,4 +1,4 @@
-/** Why a process did what it did to a request; `explain` shows the word and its sentence. */
+/** The reason codes of the decisions about a request, as `explain` prints them. */
 export const ReasonCode = {
 	arrived: 'arrived',
 	classified: 'classified',
@@ -23,11 +23,11 @@
 } as const;
 export type ReasonCode = (typeof ReasonCode)[keyof typeof ReasonCode];
 
-/** Figures of a decision: short values, never a prompt or a key. */
+/** The parameters and measured values of a decision: short values, never a prompt or a key. */
 export type DecisionDetail = Readonly<Record<string, string | number | boolean>>;
 
 export type Decision = {
-	/** Milliseconds since 1970 by this instance's clock. */
+	/** Milliseconds since the Unix epoch, by this instance's clock. */
 	readonly time: number;
 	readonly request: string;
 	readonly code: ReasonCode;
@@ -35,12 +35,12 @@
 };
 
 const defaultCapacity = 20_000;
-const longestText = 200;
+const maximumTextLength = 200;
 
 /**
- * The newest decisions of one process, by request. Memory is bounded by the number of decisions: the
- * oldest goes when a new one comes. 20,000 hold over three minutes of an entry at 17 requests a
- * second and six decisions a request, and take a few megabytes.
+ * The newest decisions of one process, by request. Memory is bounded by the number of decisions: a new one
+ * replaces the oldest. 20,000 decisions cover over three minutes of an entry at 17 requests a second with six
+ * decisions each, and take a few megabytes.
  */
 export class DecisionJournal {
 	static create(options: {capacity?: number; now?: () => number} = {}): DecisionJournal {
@@ -51,26 +51,26 @@
 	readonly #now: () => number;
 	readonly #ring: Decision[] = [];
 	readonly #byRequest = new Map<string, Decision[]>();
-	#oldest = 0;
+	#oldestIndex = 0;
 
 	private constructor(capacity: number, now: () => number) {
 		this.#capacity = capacity;
 		this.#now = now;
 	}
 
-	/** How many decisions are held. */
+	/** Number of decisions held. */
 	get size(): number {
 		return this.#ring.length;
 	}
 
 	record(request: string, code: ReasonCode, detail: DecisionDetail = {}): void {
-		const decision: Decision = {time: this.#now(), request, code, detail: shorten(detail)};
+		const decision: Decision = {time: this.#now(), request, code, detail: truncateTexts(detail)};
 		if (this.#ring.length < this.#capacity) {
 			this.#ring.push(decision);
 		} else {
-			this.#forget(this.#ring[this.#oldest]!);
-			this.#ring[this.#oldest] = decision;
-			this.#oldest = (this.#oldest + 1) % this.#capacity;
+			this.#removeFromIndex(this.#ring[this.#oldestIndex]!);
+			this.#ring[this.#oldestIndex] = decision;
+			this.#oldestIndex = (this.#oldestIndex + 1) % this.#capacity;
 		}
 
 		const decisions = this.#byRequest.get(request);
@@ -81,13 +81,13 @@
 		}
 	}
 
-	/** What happened to a request here, oldest first; empty if it was not seen or is forgotten. */
+	/** The decisions about a request, oldest first; empty if the request is unknown or its decisions have been replaced. */
 	explain(request: string): readonly Decision[] {
 		return this.#byRequest.get(request) ?? [];
 	}
 
-	/** The oldest decision of a request is always the first one held for it. */
-	#forget(decision: Decision): void {
+	/** Removes the overwritten decision, which is always the first one of its request. */
+	#removeFromIndex(decision: Decision): void {
 		const decisions = this.#byRequest.get(decision.request)!;
 		decisions.shift();
 		if (decisions.length === 0) {
@@ -96,7 +96,7 @@
 	}
 }
 
-function shorten(detail: DecisionDetail): DecisionDetail {
-	const entries = Object.entries(detail).map(([name, value]) => [name, typeof value === 'string' ? value.slice(0, longestText) : value]);
+function truncateTexts(detail: DecisionDetail): DecisionDetail {
+	const entries = Object.entries(detail).map(([name, value]) => [name, typeof value === 'string' ? value.slice(0, maximumTextLength) : value]);
 	return Object.fromEntries(entries) as DecisionDetail;
 }
--- a/src/telemetry/journal/index.ts
+++ b/src/telemetry/journal/index.ts
@@ -1,4 +1,4 @@
-/** Decisions with their reasons, and the admin routes through which operators ask for them. */
+/** The journal of decisions with their reasons, and the admin routes that the operator's command uses. */
 export {
 	DecisionJournal, ReasonCode, type Decision, type DecisionDetail,
 } from './decision-journal.js';
--- a/src/telemetry/journal/operator-protocol.ts
+++ b/src/telemetry/journal/operator-protocol.ts
@@ -1,6 +1,6 @@
 import {z} from 'zod';
 
-/** What an instance's admin port tells the operator's command, as JSON. */
+/** One decision, as an instance's admin port sends it to the operator's command in JSON. */
 const decisionSchema = z.object({
 	time: z.number(), request: z.string(), code: z.string(), detail: z.record(z.string(), z.union([z.string(), z.number(), z.boolean()])),
 });
@@ -11,7 +11,7 @@
 });
 export type ExplainAnswer = z.infer<typeof explainAnswerSchema>;
 
-/** `GET /status`. What a role has no word for is left out. */
+/** `GET /status`. Fields that do not apply to a role are omitted. */
 export const statusAnswerSchema = z.object({
 	instance: z.string(),
 	role: z.enum(['entry', 'side']),
@@ -20,10 +20,10 @@
 	catalogueOffset: z.number(),
 	/** Requests in progress at an entry; running ones at a side. */
 	running: z.number(),
-	/** Requests that wait, by tier, highest first. */
+	/** Queued requests by tier, highest tier first. */
 	waiting: z.array(z.number()),
 	quarantined: z.number(),
-	/** Connections to the other role. */
+	/** Number of connections to processes of the other role. */
 	peers: z.number(),
 	endpoint: z.string().optional(),
 	targets: z.array(z.string()).optional(),
@@ -31,7 +31,7 @@
 });
 export type StatusAnswer = z.infer<typeof statusAnswerSchema>;
 
-/** `GET /quarantine`, and the answer to `POST /quarantine` with `{"release": FINGERPRINT, "author"}`. */
+/** `GET /quarantine`, and the response to `POST /quarantine` with `{"release": FINGERPRINT, "author"}`. */
 export const quarantineAnswerSchema = z.object({
 	instance: z.string(),
 	quarantined: z.array(z.object({fingerprint: z.string(), since: z.number(), endpoints: z.array(z.string())})),
--- a/src/telemetry/journal/operator-routes.ts
+++ b/src/telemetry/journal/operator-routes.ts
@@ -8,16 +8,16 @@
 	readonly instance: string;
 	readonly role: 'entry' | 'side';
 	readonly journal: DecisionJournal;
-	/** Left out by a process that judges no requests. */
+	/** Omitted by a process that keeps no quarantine. */
 	readonly quarantine?: {
 		list(): QuarantineAnswer['quarantined'];
-		/** Resolves once the release is on its way to every instance; false: nothing is held against it. */
+		/** Resolves once the release has been published to all instances; resolves to false if the fingerprint is not quarantined. */
 		release(request: ReleaseRequest): Promise<boolean>;
 	};
 	status(): Omit<StatusAnswer, 'instance' | 'role'>;
 };
 
-/** The admin port's routes that the operator's command asks. */
+/** Creates the admin routes that the operator's command calls. */
 export function createOperatorRoutes(options: OperatorRoutesOptions): readonly AdminRoute[] {
 	const {instance, role, journal, quarantine} = options;
 	const listQuarantined = (): QuarantineAnswer => ({instance, quarantined: quarantine?.list() ?? []});
@@ -35,7 +35,7 @@
 				}
 
 				const released = await quarantine?.release(parsed.data) ?? false;
-				return released ? {status: 200, value: listQuarantined()} : {status: 404, value: {error: {message: 'Nothing is held against this fingerprint here.'}}};
+				return released ? {status: 200, value: listQuarantined()} : {status: 404, value: {error: {message: 'This fingerprint is not quarantined here.'}}};
 			},
 		},
 	];
--- a/src/telemetry/latency.ts
+++ b/src/telemetry/latency.ts
@@ -4,31 +4,31 @@
 
 const microsecondsPerMillisecond = 1000;
 const microsecondsPerSecond = 1_000_000;
-/** Above ten minutes a duration tells nothing more: no class may wait longer for its first token. */
-const longestMicroseconds = 600 * microsecondsPerSecond;
-/** Two digits keep a series at about 25 kB and its quantiles within one per cent. */
+/** Durations are capped at ten minutes: no class may wait longer for its first token. */
+const maximumMicroseconds = 600 * microsecondsPerSecond;
+/** Two digits keep a series at about 25 kB and its quantiles within one percent. */
 const significantDigits = 2;
 
-/** Upper bounds in seconds, in steps of 1, 2 and 5: fine enough to place the targets of usual classes. */
+/** Upper bounds of the buckets in seconds, in steps of 1, 2 and 5: fine enough to compare with the latency targets of common classes. */
 const bucketSeconds = [
 	0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10, 30, 60, 120, 300, 600,
 ] as const;
 
-/** Takes the durations of one series. */
+/** Records the durations of one series. */
 export type LatencyRecorder = {
 	record(milliseconds: number): void;
 };
 
 type Sample = {readonly metricName: string; readonly labels: Record<string, string | number>; readonly value: number};
 
-/** One combination of labels. The histogram counts microseconds. */
+/** The durations of one combination of labels. The histogram records microseconds. */
 class Series implements LatencyRecorder {
 	static create(labels: Labels): Series {
 		return new Series(labels);
 	}
 
 	readonly labels: Labels;
-	readonly #histogram = new Float64Histogram(1, longestMicroseconds, significantDigits);
+	readonly #histogram = new Float64Histogram(1, maximumMicroseconds, significantDigits);
 	#sumMicroseconds = 0;
 
 	private constructor(labels: Labels) {
@@ -36,7 +36,7 @@
 	}
 
 	record(milliseconds: number): void {
-		const microseconds = Math.min(Math.max(Math.round(milliseconds * microsecondsPerMillisecond), 0), longestMicroseconds);
+		const microseconds = Math.min(Math.max(Math.round(milliseconds * microsecondsPerMillisecond), 0), maximumMicroseconds);
 		this.#histogram.recordValue(microseconds);
 		this.#sumMicroseconds += microseconds;
 	}
@@ -76,7 +76,7 @@
 	}
 }
 
-/** Durations by labels, kept as HDR histograms and shown as Prometheus histograms in seconds. */
+/** Durations by labels, kept as HDR histograms and exported as Prometheus histograms in seconds. */
 export class Latency {
 	static create(name: string, help: string): Latency {
 		return new Latency(name, help);
@@ -95,18 +95,18 @@
 		this.for(labels).record(milliseconds);
 	}
 
-	/** The recorder of one combination of labels; keep it where durations are frequent. */
+	/** Returns the recorder of one combination of labels; keep it where durations are recorded frequently. */
 	for(labels: Labels): LatencyRecorder {
-		return this.#find(labels);
+		return this.#findOrCreate(labels);
 	}
 
-	/** The duration, in milliseconds, that this part of the recorded ones didn't exceed; 0 without any. */
+	/** The duration, in milliseconds, that this fraction of the recorded durations did not exceed; 0 if none is recorded. */
 	quantile(quantile: number, labels: Labels = {}): number {
-		const series = this.#find(labels);
+		const series = this.#findOrCreate(labels);
 		return series.count === 0 ? 0 : series.quantileMilliseconds(quantile);
 	}
 
-	/** What the registry reads when it renders. */
+	/** Adapts this histogram to the metric interface of the registry. */
 	asMetric(): Metric {
 		const metric = {
 			name: this.name,
@@ -118,15 +118,15 @@
 		return metric as unknown as Metric;
 	}
 
-	#find(labels: Labels): Series {
+	#findOrCreate(labels: Labels): Series {
 		const key = JSON.stringify(labels);
-		const held = this.#series.get(key);
-		if (held !== undefined) {
-			return held;
+		const existing = this.#series.get(key);
+		if (existing !== undefined) {
+			return existing;
 		}
 
-		const made = Series.create(labels);
-		this.#series.set(key, made);
-		return made;
+		const created = Series.create(labels);
+		this.#series.set(key, created);
+		return created;
 	}
 }
--- a/src/telemetry/line-sink.ts
+++ b/src/telemetry/line-sink.ts
@@ -1,16 +1,15 @@
 import {Buffer} from 'node:buffer';
 import {write, writeSync} from 'node:fs';
 
-/** Lines wait at most so long for each other, and then leave in one system call. */
+/** Lines are batched for this time and then written in one system call. */
 const batchMilliseconds = 50;
-/** A reader that takes nothing for long costs lines, not memory: some seconds of a busy process's lines. */
-const largestWaitingBytes = 1024 * 1024;
+/** Bounds the memory for lines that a slow reader has not taken; further lines are dropped. Holds some seconds of a busy process's lines. */
+const maximumQueuedBytes = 1024 * 1024;
 
 /**
- * Writes lines to a descriptor without ever blocking the process. Failure: the reader of our standard
- * output stalls, and Node writes to pipes synchronously. Symptom: the whole process stands still until
- * someone reads. Here one write at a time is under way on another thread, and what does not fit into
- * a bounded buffer is counted and told in a line of its own.
+ * Writes lines to a file descriptor without blocking the process. Node writes to pipes synchronously, so that
+ * a stalled reader of standard output would block the whole process. Here at most one write is in progress, on
+ * another thread; lines that do not fit into the bounded buffer are dropped and counted, and the count is logged.
  */
 export class LineSink implements Disposable {
 	static create(descriptor: number): LineSink {
@@ -18,8 +17,8 @@
 	}
 
 	readonly #descriptor: number;
-	#waiting: string[] = [];
-	#waitingBytes = 0;
+	#queue: string[] = [];
+	#queuedBytes = 0;
 	#dropped = 0;
 	#isWriting = false;
 	#timer: NodeJS.Timeout | undefined;
@@ -29,36 +28,36 @@
 	}
 
 	write(line: string): void {
-		if (this.#waitingBytes + line.length > largestWaitingBytes) {
+		if (this.#queuedBytes + line.length > maximumQueuedBytes) {
 			this.#dropped += 1;
 			return;
 		}
 
-		this.#waiting.push(line);
-		this.#waitingBytes += line.length;
+		this.#queue.push(line);
+		this.#queuedBytes += line.length;
 		this.#timer ??= setTimeout(() => {
 			this.#flush();
 		}, batchMilliseconds).unref();
 	}
 
-	/** Writes what waits, as far as the descriptor takes it at once. */
+	/** Writes the queued lines synchronously, as far as the descriptor accepts them in one call. */
 	[Symbol.dispose](): void {
 		clearTimeout(this.#timer);
 		try {
-			writeSync(this.#descriptor, this.#take());
+			writeSync(this.#descriptor, this.#takeQueue());
 		} catch {
-			// Nobody reads any more, and there is nowhere left to tell it.
+			// The output accepts no more data, so the error can't be reported either.
 		}
 	}
 
 	#flush(): void {
 		this.#timer = undefined;
-		if (this.#isWriting || this.#waiting.length === 0) {
+		if (this.#isWriting || this.#queue.length === 0) {
 			return;
 		}
 
 		this.#isWriting = true;
-		this.#writeAll(Buffer.from(this.#take()));
+		this.#writeAll(Buffer.from(this.#takeQueue()));
 	}
 
 	#writeAll(bytes: Uint8Array): void {
@@ -74,11 +73,11 @@
 		});
 	}
 
-	#take(): string {
-		const dropped = this.#dropped === 0 ? '' : `${JSON.stringify({level: 40, msg: 'Log: Lines dropped, nobody read them in time.', dropped: this.#dropped})}\n`;
-		const text = dropped + this.#waiting.join('');
-		this.#waiting = [];
-		this.#waitingBytes = 0;
+	#takeQueue(): string {
+		const dropped = this.#dropped === 0 ? '' : `${JSON.stringify({level: 40, msg: 'Log: Lines dropped because the output was not read in time.', dropped: this.#dropped})}\n`;
+		const text = dropped + this.#queue.join('');
+		this.#queue = [];
+		this.#queuedBytes = 0;
 		this.#dropped = 0;
 		return text;
 	}
--- a/src/telemetry/logger.ts
+++ b/src/telemetry/logger.ts
@@ -2,27 +2,27 @@
 import bunyan from 'bunyan';
 import {redactedJson} from './redaction.js';
 
-/** The process's logger. Parts write through `forPart`. */
+/** The logger of a process. Its parts write through `forPart`. */
 export type Logger = bunyan;
 
-/** The levels that a setting may name, most talkative first. */
+/** The log levels that a setting accepts, most verbose first. */
 export const logLevels = ['trace', 'debug', 'info', 'warn', 'error', 'fatal'] as const;
 export type LogLevel = (typeof logLevels)[number];
 
-/** Anything that takes a line. */
+/** A destination for log lines. */
 type LineWriter = {write(line: string): unknown};
 
 export type LoggerOptions = {
-	/** The program's name, in each line. */
+	/** The program's name, included in each line. */
 	readonly name: string;
 	readonly level: LogLevel;
-	/** Where lines go; standard error unless named. */
+	/** The destination of the lines; standard error by default. */
 	readonly output?: LineWriter;
-	/** Fields that stand in each line, such as the instance. */
+	/** Fields included in each line, such as the instance. */
 	readonly fields?: Readonly<Record<string, unknown>>;
 };
 
-/** Makes a logger that writes one JSON object a line. */
+/** Creates a logger that writes one JSON object per line. */
 export function createLogger({name, level, output = process.stderr, fields = {}}: LoggerOptions): Logger {
 	const stream = {
 		write(record: unknown) {
@@ -39,7 +39,7 @@
 
 type Fields = Readonly<Record<string, unknown>>;
 
-/** Writes short sentences, each with the prefix of one part. An `err` field keeps message and stack. */
+/** Writes log messages with the prefix of one part. An `err` field is serialized with its message and stack. */
 export type PartLogger = {
 	debug(message: string, fields?: Fields): void;
 	info(message: string, fields?: Fields): void;
--- a/src/telemetry/metrics.ts
+++ b/src/telemetry/metrics.ts
@@ -3,7 +3,7 @@
 } from 'prom-client';
 import {Latency} from './latency.js';
 
-/** Label values of a series. Use few values a label: each combination is a series of its own. */
+/** Label values of a series. Keep the number of values per label small: each combination is a separate series. */
 export type Labels = Readonly<Record<string, string>>;
 
 export type Counter = {
@@ -15,20 +15,20 @@
 };
 
 type MetricsOptions = {
-	/** The program's role, a label of each series. */
+	/** The program's role, added to each series as a label. */
 	readonly role: string;
-	/** True to add processor, memory and event loop figures of the process. */
-	readonly ofProcess?: boolean;
+	/** True to add the processor, memory and event loop metrics of the process. */
+	readonly includesProcessMetrics?: boolean;
 };
 
 const prefix = 'cassiaflow_';
 
-/** The figures of one process. Names get the prefix `cassiaflow_`; durations are shown in seconds. */
+/** The metrics of one process. Names get the prefix `cassiaflow_`; durations are exported in seconds. */
 export class Metrics {
-	static create({role, ofProcess = false}: MetricsOptions): Metrics {
+	static create({role, includesProcessMetrics = false}: MetricsOptions): Metrics {
 		const registry = new Registry();
 		registry.setDefaultLabels({role});
-		if (ofProcess) {
+		if (includesProcessMetrics) {
 			collectDefaultMetrics({register: registry});
 		}
 
@@ -41,12 +41,12 @@
 		this.#registry = registry;
 	}
 
-	/** What `render` writes, for the header. */
+	/** The content type of the text that `render` returns. */
 	get contentType(): string {
 		return this.#registry.contentType;
 	}
 
-	/** A number that only rises. */
+	/** Adds a counter, whose value only increases. */
 	counter(name: string, help: string, labelNames: readonly string[] = []): Counter {
 		const counter = new PromCounter({name: prefix + name, help, labelNames: [...labelNames], registers: [this.#registry]});
 		return {
@@ -56,7 +56,7 @@
 		};
 	}
 
-	/** A number that is set. */
+	/** Adds a gauge, whose value is set. */
 	gauge(name: string, help: string, labelNames: readonly string[] = []): Gauge {
 		const gauge = new PromGauge({name: prefix + name, help, labelNames: [...labelNames], registers: [this.#registry]});
 		return {
@@ -66,7 +66,7 @@
 		};
 	}
 
-	/** A number that is read when the metrics are. */
+	/** Adds a gauge whose value is read when the metrics are rendered. */
 	observe(name: string, help: string, read: () => number): void {
 		const gauge = new PromGauge({
 			name: prefix + name,
@@ -78,14 +78,14 @@
 		});
 	}
 
-	/** Durations; recorded in milliseconds, shown in seconds under a name that ends so. */
+	/** Adds a latency histogram. Durations are recorded in milliseconds and exported in seconds, with the name suffix `_seconds`. */
 	latency(name: string, help: string): Latency {
 		const latency = Latency.create(`${prefix}${name}_seconds`, help);
 		this.#registry.registerMetric(latency.asMetric());
 		return latency;
 	}
 
-	/** Everything in the Prometheus text format. */
+	/** Renders all metrics in the Prometheus text format. */
 	render(): Promise<string> {
 		return this.#registry.metrics();
 	}
--- a/src/telemetry/redaction.ts
+++ b/src/telemetry/redaction.ts
@@ -1,6 +1,6 @@
 /**
- * Fields that hold a caller's key or artwork wherever they occur. Names are compared in lower case
- * without hyphens and underscores.
+ * Fields that may hold a caller's key or the content of a request, wherever they occur. Names are compared in
+ * lower case, without hyphens and underscores.
  */
 const secretFields = new Set([
 	'authorization',
@@ -23,35 +23,35 @@
 const bearerPattern = /\bbearer\s+[^\s"',;]+/giv;
 const replacement = '[redacted]';
 /**
- * A line without such a field that holds text or a list has nothing to redact; most lines are such, and are written only once. Counts
- * bear the same names, and stand in a line of each request.
+ * Matches lines that may need redaction: those in which such a field holds a string, a list or an object. Most lines don't match and
+ * are serialized only once. Numbers don't match, since counts with the same field names occur in the log lines of every request.
  */
 const separators = String.raw`[\-_]*`;
 const names = [...secretFields].map(name => [...name].join(separators)).join('|');
-const suspicion = new RegExp(String.raw`"${separators}(?:${names})${separators}":["\[\{]|bearer\s`, 'iv');
+const candidatePattern = new RegExp(String.raw`"${separators}(?:${names})${separators}":["\[\{]|bearer\s`, 'iv');
 
 /**
- * Writes a value as JSON without keys and prompts. Failure: a part logs a whole request or an error
- * that quotes one. Symptom: one partner's artwork stands in a log that another's operators read.
- * The rule is kept here, on the way out, because every line passes this place.
+ * Serializes a value as JSON without keys and prompts. If a part logs a whole request, or an error that quotes
+ * one, the content of one workspace's request would otherwise be in a log that operators of another one read.
+ * Redaction is done here because every log line passes through this function.
  */
 export function redactedJson(value: unknown): string {
 	const plain = JSON.stringify(value);
-	return suspicion.test(plain) ? redact(value) : plain;
+	return candidatePattern.test(plain) ? redact(value) : plain;
 }
 
-function redact(value: unknown): string {
-	return JSON.stringify(value, (field, held: unknown) => {
-		if (isSecretField(field) && holdsText(held)) {
+function redact(record: unknown): string {
+	return JSON.stringify(record, (field, value: unknown) => {
+		if (isSecretField(field) && mayHoldText(value)) {
 			return replacement;
 		}
 
-		return typeof held === 'string' ? held.replaceAll(bearerPattern, `Bearer ${replacement}`) : held;
+		return typeof value === 'string' ? value.replaceAll(bearerPattern, `Bearer ${replacement}`) : value;
 	});
 }
 
-/** Counts of events or tokens may be shown. */
-function holdsText(value: unknown): boolean {
+/** Strings and objects are redacted; numbers, such as counts of events or tokens, are not. */
+function mayHoldText(value: unknown): boolean {
 	return typeof value === 'string' || (typeof value === 'object' && value !== null);
 }
 
--- a/test/telemetry/decision-journal.test.ts
+++ b/test/telemetry/decision-journal.test.ts
@@ -2,7 +2,7 @@
 import tap from 'tap';
 import {DecisionJournal, ReasonCode} from '../../src/telemetry/index.js';
 
-tap.test('the journal holds exactly the newest decisions, each under its request and in order', async () => {
+tap.test('the journal holds exactly the newest decisions, indexed by request and in order', async () => {
 	const requests = fc.array(fc.constantFrom('first', 'second', 'third'), {maxLength: 50});
 	fc.assert(fc.property(requests, fc.integer({min: 1, max: 10}), (names, capacity) => {
 		let now = 0;
@@ -19,7 +19,7 @@
 	}), {seed: 3});
 });
 
-tap.test('a long detail is cut', async t => {
+tap.test('a long detail is truncated', async t => {
 	const journal = DecisionJournal.create();
 	journal.record('first', ReasonCode.failed, {why: 'x'.repeat(1000), attempt: 1});
 	t.equal(String(journal.explain('first')[0]!.detail.why).length, 200);
--- a/test/telemetry/telemetry.test.ts
+++ b/test/telemetry/telemetry.test.ts
@@ -17,7 +17,7 @@
 	t.match(JSON.parse(lines[0]!), {name: 'test', instance: 'i1', level: 40, msg: 'Queue: Full.', requestId: 'r1', err: {message: 'broken'}});
 });
 
-tap.test('keys and prompts never reach the log, however deep they stand', async t => {
+tap.test('keys and prompts never reach the log, however deeply nested', async t => {
 	const {lines, output} = collectLines();
 	const log = forPart(createLogger({name: 'test', level: 'info', output}), 'Entry');
 	const secret = 'sk-embroidery-0815';
@@ -55,9 +55,9 @@
 	t.equal(latency.quantile(0.5, {tier: '1'}), 0);
 });
 
-tap.test('the admin port answers health, readiness, metrics and the routes that others add', async t => {
+tap.test('the admin port serves health, readiness, metrics and the routes that other parts add', async t => {
 	let ready = false;
-	const metrics = Metrics.create({role: 'side', ofProcess: true});
+	const metrics = Metrics.create({role: 'side', includesProcessMetrics: true});
 	await using server = await AdminServer.create({
 		host: '127.0.0.1', port: 0, metrics, isReady: () => ready,
 		routes: [
