--- a/src/bin/cassiaflow-entry.ts
+++ b/src/bin/cassiaflow-entry.ts
@@ -78,11 +78,11 @@
 	});
 	log.info('Listening.', {address: entry.address, internalAddress: entry.internalAddress, adminPort: admin.port});
 	log.info('Stopping.', {signal: await stopSignal()});
-	const whole = await withinMilliseconds(entry.drain(settings.noticeMilliseconds), settings.stopMilliseconds);
-	log.info(whole ? 'Stopped with nothing in progress.' : 'Stopped with requests in progress, after the time allowed.');
+	const isDrained = await withinMilliseconds(entry.drain(settings.noticeMilliseconds), settings.stopMilliseconds);
+	log.info(isDrained ? 'Stopped with nothing in progress.' : 'Stopped with requests in progress after the drain timeout.');
 }
 
-/** Spreads choices between equals; needs no secrecy, only that two instances differ. */
+/** Random numbers from 0 to 1 for ties between equal candidates. They need not be secret, but two instances must draw different ones. */
 function randomUniform(): number {
 	return randomBytes(4).readUInt32BE() / 0x1_00_00_00_00;
 }
--- a/src/bin/cassiaflow-side.ts
+++ b/src/bin/cassiaflow-side.ts
@@ -19,7 +19,7 @@
 
 const platformTimeoutMilliseconds = 2000;
 const healthTimeoutMilliseconds = 1000;
-/** Weights are many gigabytes, and the store paces. */
+/** Model weights are many gigabytes, and the store limits its transfer rate. */
 const weightsTimeoutMilliseconds = 30 * 60_000;
 
 async function main(settings: SideSettings): Promise<void> {
@@ -28,7 +28,7 @@
 	const log = forPart(logger, 'Side');
 	const catalogueLog = forPart(logger, 'Catalogue');
 	const metrics = Metrics.create({role: 'side', includesProcessMetrics: true});
-	const violations = metrics.counter('violations_total', 'Broken rules of the queue.', ['rule']);
+	const violations = metrics.counter('violations_total', 'Violated invariants of the queue, by rule.', ['rule']);
 	const onLog = (message: string): void => {
 		catalogueLog.warn(message);
 	};
@@ -56,7 +56,7 @@
 		scheduler: createTieredScheduler(createSettings({
 			onViolation({rule, detail}: Violation) {
 				violations.add(1, {rule});
-				log.error('A rule of the queue is broken.', {rule, detail});
+				log.error('Queue invariant violated.', {rule, detail});
 			},
 		})),
 		logger: log,
@@ -66,9 +66,9 @@
 			handleCatalogueMessage(follower, message, reply);
 		},
 	});
-	await using _watch = backend.type === 'engine' ? EndpointWatch.create(control, side) : undefined;
-	await using _keeper = backend.type === 'engine' && settings.weightsUrl !== undefined
-		? keepModels({...settings, weightsUrl: settings.weightsUrl}, {
+	await using _endpointWatch = backend.type === 'engine' ? EndpointWatch.create(control, side) : undefined;
+	await using _reconciler = backend.type === 'engine' && settings.weightsUrl !== undefined
+		? createModelReconciler({...settings, weightsUrl: settings.weightsUrl}, {
 			instance, control, side, logger: forPart(logger, 'Models'), catalogue: () => follower.current(),
 		})
 		: undefined;
@@ -86,11 +86,11 @@
 	});
 	log.info('Listening.', {address: side.address, adminPort: admin.port});
 	log.info('Stopping.', {signal: await stopSignal()});
-	const whole = await withinMilliseconds(side.drain(), settings.stopMilliseconds);
-	log.info(whole ? 'Stopped with nothing running.' : 'Stopped with requests running, after the time allowed.');
+	const isDrained = await withinMilliseconds(side.drain(), settings.stopMilliseconds);
+	log.info(isDrained ? 'Stopped with nothing running.' : 'Stopped with requests running after the drain timeout.');
 }
 
-type KeeperParts = {
+type ReconcilerParts = {
 	readonly instance: string;
 	readonly control: EngineControl;
 	readonly side: Side<TieredState>;
@@ -98,8 +98,8 @@
 	readonly catalogue: () => Catalogue;
 };
 
-/** Keeps its models in line with the catalogue. */
-function keepModels(settings: SideSettings & {readonly weightsUrl: string}, {instance, control, side, logger, catalogue}: KeeperParts): ModelReconciler {
+/** Creates the reconciler that keeps the endpoint's models in line with the catalogue. */
+function createModelReconciler(settings: SideSettings & {readonly weightsUrl: string}, {instance, control, side, logger, catalogue}: ReconcilerParts): ModelReconciler {
 	const platform = (baseUrl: string) => ({baseUrl, timeoutMilliseconds: platformTimeoutMilliseconds});
 	return ModelReconciler.create({
 		endpoint: settings.endpoint as EndpointId,
@@ -117,7 +117,7 @@
 	});
 }
 
-/** Services have no health call of their own: a refused connection tells, and is certain to be not run. */
+/** Creates the client of the endpoint. Services have no health check: a refused connection shows that one is down, and that the request was not run. */
 function createBackend({endpointKind, endpointUrl}: SideSettings): Backend {
 	switch (endpointKind) {
 		case 'engine': {
--- a/src/bin/cassiaflow.ts
+++ b/src/bin/cassiaflow.ts
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** The operator's command: publishes catalogue changes and shows the state and the decisions of the fleet. */
 import process from 'node:process';
 import yargs from 'yargs';
 import {hideBin} from 'yargs/helpers';
@@ -9,7 +10,7 @@
 import {HttpLogClient, HttpMembershipClient, PlatformError} from '../platform/index.js';
 import {packageVersion} from './settings/command-line.js';
 
-/** The operator's command: publishes catalogue changes and tells what the fleet did. */
+/** Timeout of one request to the platform's log or membership list. */
 const requestTimeoutMilliseconds = 5000;
 
 type Settings = {logUrl?: string; membersUrl?: string; instance?: string[]; author: string; json: boolean};
@@ -19,12 +20,12 @@
 	await using log = settings.logUrl === undefined ? undefined : HttpLogClient.create({baseUrl: settings.logUrl, timeoutMilliseconds: requestTimeoutMilliseconds});
 	await using members = settings.membersUrl === undefined ? undefined : HttpMembershipClient.create({baseUrl: settings.membersUrl, timeoutMilliseconds: requestTimeoutMilliseconds});
 	const context = {log, members, instances: settings.instance ?? [], author: settings.author};
-	const result = await command(context).catch((error: unknown) => failureOf(error));
+	const result = await command(context).catch((error: unknown) => toFailure(error));
 	process.exitCode = result.exit;
 	process.stdout.write(`${settings.json ? JSON.stringify(result.value) : result.text}\n`);
 }
 
-function failureOf(error: unknown): CommandResult {
+function toFailure(error: unknown): CommandResult {
 	const message = error instanceof Error ? error.message : String(error);
 	const exit = error instanceof MissingSettingError || isFileError(error) ? OperatorExit.usage : OperatorExit.unreachable;
 	if (exit === OperatorExit.unreachable && !(error instanceof PlatformError)) {
--- a/src/bin/early-hangup.ts
+++ b/src/bin/early-hangup.ts
@@ -1,7 +1,7 @@
 /**
- * Imported before everything else by programs that reload at SIGHUP. Failure: the signal comes while the
- * program still loads, before it listens for it. Symptom: the process ends, which is what the signal does
- * to whoever ignores it. Nothing has to be done then: the settings have not been read yet.
+ * Imported before all other modules by programs that reload on SIGHUP. Without a listener the signal terminates
+ * the process, so that a SIGHUP during loading, before the program installs its own listener, would end it. This
+ * listener does nothing, since the settings have not been read yet at that time.
  */
 import process from 'node:process';
 
--- a/src/bin/gateway-process.ts
+++ b/src/bin/gateway-process.ts
@@ -8,29 +8,29 @@
 import {parseTuning} from './settings/tuning.js';
 import {withinMilliseconds} from './stop-signal.js';
 
-/** What a platform's adapter brings: translation, and the store's feeds. */
+/** The platform-specific parts: the translation of requests and the access to the store and the engines. */
 export type GatewayAdapter = {
 	readonly codec: RequestCodec;
 	readonly readyPath: string;
 	openStore(address: string, logger: PartLogger): GatewayStore;
-	/** Asks a model engine which prompt parts it keeps. */
+	/** Asks a model engine which prompt parts it has cached. */
 	readCachedParts(address: string): Promise<readonly PromptPart[]>;
 };
 
 export type GatewayStore = AsyncDisposable & StoreFeeds & {
-	/** Calls at the first answer that comes from a newer era of the store. */
+	/** Registers a listener for the first response from a newer era of the store; the era is its generation number, which rises when it is restored from a backup. */
 	onEra(listener: (era: number) => void): void;
 	announce(record: PeerRecord): Promise<void>;
 	retract(instance: string): Promise<void>;
 };
 
 const announceRetryMilliseconds = 1000;
-/** All instances announce themselves anew once the store has come back from a copy: spread over so long. */
+/** After the store is restored from a backup, all instances announce themselves again, at random times within this period. */
 const announceSpreadMilliseconds = 2000;
 const pruneMilliseconds = 10_000;
-/** Bodies may take this part of the memory; the rest is the program, answers and connections. */
-const bodiesShare = 0.2;
-/** A planned stop ends this long before the platform would end it. */
+/** Share of the memory for buffered request bodies; the rest is for the program, responses and connections. */
+const bodyMemoryShare = 0.2;
+/** A graceful shutdown ends this long before the platform would kill the process. */
 const stopMarginMilliseconds = 600;
 
 type Parts = {
@@ -42,21 +42,21 @@
 	readonly dispatcher: Dispatcher;
 	readonly gateway: Gateway;
 	readonly admin: AdminServer;
-	/** Everything that must be released, in this order. */
-	readonly releases: ReadonlyArray<AsyncDisposable | Disposable>;
+	/** The parts to dispose of, in this order. */
+	readonly disposables: ReadonlyArray<AsyncDisposable | Disposable>;
 };
 
-/** One gateway with all its parts. */
+/** One gateway process with all its parts. */
 export class GatewayProcess implements AsyncDisposable {
 	static async create({settings, adapter, logger}: {settings: GatewaySettings; adapter: GatewayAdapter; logger: Logger}): Promise<GatewayProcess> {
 		const incarnation = createInstanceId('gateway');
 		const metrics = Metrics.create({role: 'gateway'});
 		const routingState = RoutingState.create(forPart(logger, 'Beliefs'));
 		const store = adapter.openStore(settings.storeAddress, forPart(logger, 'Store'));
-		const channels = ConnectionPools.create();
+		const connectionPools = ConnectionPools.create();
 		routingState.onChange(change => {
 			for (const id of change.type === 'reborn' ? change.ids : []) {
-				channels.closeStaleConnections(id);
+				connectionPools.closeStaleConnections(id);
 			}
 		});
 		const decisions = DecisionLog.create(forPart(logger, 'Request'), metrics);
@@ -72,7 +72,7 @@
 				peers.broadcastLoad(event);
 			},
 		});
-		const kept = PromptCacheReader.create({
+		const promptCacheReader = PromptCacheReader.create({
 			instance: settings.instance, routingState, logger: forPart(logger, 'Kept'),
 			instances: () => peers.instanceNames,
 			read: async address => adapter.readCachedParts(address),
@@ -81,46 +81,46 @@
 				peers.broadcastPromptCache(list);
 			},
 		});
-		/** Peers may come before the feeds are followed: nothing was read until then. */
-		const followed: {feeds?: FeedFollowers} = {};
-		const peers = await openPeers(settings, {incarnation, routingState, dispatcher, kept, logger, feeds: () => followed.feeds});
-		const eras = metrics.counter('gateway_store_eras_total', 'How often a feed was read anew since the store came back from a copy.', ['feed']);
+		/** Filled in after the peers are opened; a peer that connects before counts as nothing read yet. */
+		const followers: {feeds?: FeedFollowers} = {};
+		const peers = await openPeers(settings, {incarnation, routingState, dispatcher, promptCacheReader, logger, feeds: () => followers.feeds});
+		const eraCounter = metrics.counter('gateway_store_eras_total', 'How often a feed was read again because the store was restored from a backup.', ['feed']);
 		const feeds = followFeeds(store, {
 			routingState, peers, drainMilliseconds: settings.drainMilliseconds, applyMilliseconds: settings.applyMilliseconds, logger: forPart(logger, 'Store'), random: Math.random,
 			onEra({feed}) {
-				eras.add(1, {feed});
+				eraCounter.add(1, {feed});
 			},
 		});
-		followed.feeds = feeds;
-		const watch = EventLoopMonitor.create(forPart(logger, 'Processor'), metrics, () => dispatcher.takeQueueActivity());
+		followers.feeds = feeds;
+		const eventLoopMonitor = EventLoopMonitor.create(forPart(logger, 'Processor'), metrics, () => dispatcher.takeQueueActivity());
 		const gateway = await Gateway.create({
 			...splitAddress(settings.callerAddress),
-			maxBufferedBodyBytes: settings.memoryMegabytes * 1024 * 1024 * bodiesShare,
-			routingState, dispatcher, connectionPools: channels, codec: adapter.codec, log: decisions, eventLoopMonitor: watch, logger: forPart(logger, 'Gateway'),
+			maxBufferedBodyBytes: settings.memoryMegabytes * 1024 * 1024 * bodyMemoryShare,
+			routingState, dispatcher, connectionPools, codec: adapter.codec, log: decisions, eventLoopMonitor, logger: forPart(logger, 'Gateway'),
 		});
-		metrics.observe('gateway_waiting', 'Requests that wait for a place.', () => dispatcher.queueLength);
-		metrics.observe('gateway_open', 'Requests without their whole answer.', () => gateway.openRequests);
-		metrics.observe('gateway_peers', 'Other gateways connected.', () => peers.count);
-		metrics.observe('gateway_table_version', 'The routing table in force.', () => routingState.table?.version ?? 0);
+		metrics.observe('gateway_waiting', 'Requests in the placement queue.', () => dispatcher.queueLength);
+		metrics.observe('gateway_open', 'Requests whose response is not complete.', () => gateway.openRequests);
+		metrics.observe('gateway_peers', 'Connected peer gateways.', () => peers.count);
+		metrics.observe('gateway_table_version', 'Version of the routing table in force.', () => routingState.table?.version ?? 0);
 		const admin = await AdminServer.create({...splitAddress(settings.adminAddress), metrics, readyPath: adapter.readyPath, isReady: () => gateway.isReady});
-		const prune = setInterval(() => {
+		const pruneTimer = setInterval(() => {
 			routingState.prune(performance.now());
 			dispatcher.loadTracker.prune(performance.now());
-			channels.retain(new Set(routingState.directory.entries.keys()));
+			connectionPools.retain(new Set(routingState.directory.entries.keys()));
 		}, pruneMilliseconds);
 		const timers = {
 			[Symbol.dispose]() {
-				clearInterval(prune);
+				clearInterval(pruneTimer);
 			},
 		};
 		return new GatewayProcess({
 			settings, log: forPart(logger, 'Gateway'), store, routingState, peers, dispatcher, gateway, admin,
-			releases: [timers, admin, gateway, feeds, kept, peers, dispatcher, decisions, watch, channels, store],
+			disposables: [timers, admin, gateway, feeds, promptCacheReader, peers, dispatcher, decisions, eventLoopMonitor, connectionPools, store],
 		});
 	}
 
 	readonly #parts: Parts;
-	readonly #announcing = new AbortController();
+	readonly #announcementAbort = new AbortController();
 
 	private constructor(parts: Parts) {
 		this.#parts = parts;
@@ -148,15 +148,15 @@
 		return this.#parts.admin.port;
 	}
 
-	/** Takes what may change while it runs. */
+	/** Applies the settings that can change at run time. */
 	apply(settings: GatewaySettings): void {
 		this.#parts.dispatcher.retries.setAllowance(allowanceOf(settings));
 	}
 
-	/** A planned stop; true if nothing was cut off. */
+	/** Shuts down gracefully; resolves to true if nothing was cut off by the deadline. */
 	async drain(): Promise<boolean> {
 		const {gateway, store, settings, log} = this.#parts;
-		this.#announcing.abort();
+		this.#announcementAbort.abort();
 		const retracted = store.retract(settings.instance).catch((error: unknown) => {
 			log.warn('Could not retract the announcement.', {reason: String(error)});
 		});
@@ -164,8 +164,8 @@
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
-		this.#announcing.abort();
-		for (const part of this.#parts.releases) {
+		this.#announcementAbort.abort();
+		for (const part of this.#parts.disposables) {
 			if (Symbol.asyncDispose in part) {
 				await part[Symbol.asyncDispose]();
 			} else {
@@ -174,10 +174,10 @@
 		}
 	}
 
-	/** Announces this instance, as often as it takes. */
+	/** Announces this instance, retrying until it succeeds or the process shuts down. */
 	async #announce(): Promise<void> {
 		const {store, settings, log} = this.#parts;
-		const {signal} = this.#announcing;
+		const {signal} = this.#announcementAbort;
 		for (let tries = 1; !signal.aborted; tries++) {
 			try {
 				await store.announce({instance: settings.instance, address: settings.peerAddress, zone: settings.availabilityZone as ZoneName});
@@ -196,9 +196,9 @@
 	}
 }
 
-type PeerParts = {readonly incarnation: string; readonly routingState: RoutingState; readonly dispatcher: Dispatcher; readonly kept: PromptCacheReader; readonly logger: Logger; readonly feeds: () => FeedFollowers | undefined};
+type PeerParts = {readonly incarnation: string; readonly routingState: RoutingState; readonly dispatcher: Dispatcher; readonly promptCacheReader: PromptCacheReader; readonly logger: Logger; readonly feeds: () => FeedFollowers | undefined};
 
-async function openPeers(settings: GatewaySettings, {incarnation, routingState: beliefs, dispatcher, kept, logger, feeds}: PeerParts): Promise<Peers> {
+async function openPeers(settings: GatewaySettings, {incarnation, routingState, dispatcher, promptCacheReader, logger, feeds}: PeerParts): Promise<Peers> {
 	const {host, port} = splitAddress(settings.peerAddress);
 	return Peers.create({
 		instance: settings.instance,
@@ -208,13 +208,13 @@
 		port,
 		security: {type: 'plaintext'},
 		seeds: settings.seedHosts.map(seed => `${seed.split(':', 1)[0]}:${port}`),
-		routingState: beliefs,
+		routingState,
 		logger: forPart(logger, 'Peers'),
 		onLoad(event) {
 			dispatcher.applyLoad(event);
 		},
 		onPromptCache(list) {
-			kept.markRead(list.endpoint);
+			promptCacheReader.markRead(list.endpoint);
 			dispatcher.applyLoad({type: 'kept', ...list});
 		},
 		knowsEndpoints: () => (feeds()?.endpoints.millisecondsSinceRead(performance.now()) ?? Infinity) < recentPollMilliseconds,
--- a/src/bin/gateway-program.ts
+++ b/src/bin/gateway-program.ts
@@ -5,10 +5,10 @@
 import {type GatewaySettings, parseGatewaySettings} from './settings/gateway-settings.js';
 import {stopSignal} from './stop-signal.js';
 
-/** A settings file that changes without a signal is seen within this time. */
+/** Poll interval of the settings file, for changes without a signal. */
 const settingsPollMilliseconds = 2000;
 
-/** Runs one gateway from its settings file until it is asked to stop. */
+/** Runs one gateway with the settings of a file until a signal stops it. */
 export async function runGateway(settingsFile: string, adapter: GatewayAdapter): Promise<void> {
 	const text = readFileSync(settingsFile, 'utf8');
 	const settings = parseGatewaySettings(text);
@@ -16,7 +16,7 @@
 	const logger = createLogger({name: 'cassiaflow-gateway', level: settings.logLevel, output: sink, fields: {instance: settings.instance}});
 	const log = forPart(logger, 'Gateway');
 	process.on('uncaughtExceptionMonitor', error => {
-		log.error('Ending after an error that nothing caught.', {err: error});
+		log.error('Exiting after an uncaught error.', {err: error});
 		sink[Symbol.dispose]();
 	});
 	await using program = await GatewayProcess.create({settings, adapter, logger});
@@ -25,19 +25,19 @@
 	}});
 	log.info('Started.', {version: process.version, milliseconds: Math.round(performance.now()), settings: describe(settings)});
 	log.info('Stopping.', {signal: await stopSignal(), open: program.gateway.openRequests});
-	const isWhole = await program.drain();
-	log.info('Stopped.', {isWhole, open: program.gateway.openRequests});
+	const isDrained = await program.drain();
+	log.info('Stopped.', {isWhole: isDrained, open: program.gateway.openRequests});
 }
 
 type Reload = {readonly logger: PartLogger; readonly apply: (settings: GatewaySettings) => void};
 
-/** Reads the file again at SIGHUP, and when it changes without one. A wrong file leaves the old settings in force. */
-function reloadOnChange(file: string, before: string, {logger, apply}: Reload): Disposable {
-	let known = before;
+/** Reloads the file on SIGHUP and when its content changes. If the file is invalid, the old settings stay in force. */
+function reloadOnChange(file: string, initialText: string, {logger, apply}: Reload): Disposable {
+	let lastText = initialText;
 	const reload = (cause: 'SIGHUP' | 'file'): void => {
 		try {
 			const text = readFileSync(file, 'utf8');
-			if (text === known) {
+			if (text === lastText) {
 				if (cause === 'SIGHUP') {
 					logger.info('Reloaded, nothing changed.', {cause});
 				}
@@ -45,11 +45,11 @@
 				return;
 			}
 
-			known = text;
+			lastText = text;
 			apply(parseGatewaySettings(text));
 			logger.info('Reloaded.', {cause});
 		} catch (error) {
-			logger.error('The settings file is wrong, the old settings stay in force.', {cause, reason: String(error)});
+			logger.error('The settings file is invalid, the old settings stay in force.', {cause, reason: String(error)});
 		}
 	};
 
--- a/src/bin/settings/command-line.ts
+++ b/src/bin/settings/command-line.ts
@@ -6,17 +6,17 @@
 } from './definition.js';
 
 type Settings = Readonly<Record<string, Setting>>;
-/** A definition without its check, which is bound to the types of one program's values. */
+/** A definition without `check`, whose type depends on one program's values. */
 type Flags = Omit<SettingsDefinition<Settings>, 'check'>;
 type Environment = Readonly<Record<string, string | undefined>>;
 
-/** What a command line asks for. */
+/** The result of reading a command line: run the program, print a text, or report a usage error. */
 export type CommandLine<Values>
 	= | {readonly type: 'run'; readonly values: Values}
 		| {readonly type: 'print'; readonly text: string}
 		| {readonly type: 'wrong'; readonly message: string};
 
-/** Reads a program's settings; throws one `SettingsError` that names every wrong one. */
+/** Parses a program's settings; throws one `SettingsError` that lists every invalid one. */
 export function parseSettings<All extends Settings>(definition: SettingsDefinition<All>, commandLine: readonly string[], environment: Environment): SettingsOf<All> {
 	const {flags, problems} = readFlags(definition, commandLine);
 	const values: Record<string, unknown> = {};
@@ -39,7 +39,7 @@
 	return checked;
 }
 
-/** The same for a program's start: help and version are answered, mistakes come as a message. */
+/** Parses a command line at the start of a program, including `--help` and `--version`; invalid settings are returned as a message. */
 export async function readCommandLine<All extends Settings>(definition: SettingsDefinition<All>, commandLine: readonly string[], environment: Environment): Promise<CommandLine<SettingsOf<All>>> {
 	if (commandLine.includes('--help')) {
 		return {type: 'print', text: await createParser(definition).getHelp()};
@@ -60,7 +60,7 @@
 	}
 }
 
-/** The version of the whole product. */
+/** Returns the version of the product. */
 export function packageVersion(): string {
 	const text = readFileSync(new URL('../../../../package.json', import.meta.url), 'utf8');
 	return z.object({version: z.string()}).parse(JSON.parse(text)).version;
@@ -78,12 +78,12 @@
 		}
 
 		if (flag !== '_' && flag !== '$0') {
-			problems.push({message: `--${flag}: there is no such flag`});
+			problems.push({message: `--${flag}: unknown flag`});
 		}
 	}
 
 	if (parsed._.length > 0) {
-		problems.push({message: 'words outside of flags are not understood'});
+		problems.push({message: 'positional arguments are not supported'});
 	}
 
 	return {flags, problems};
--- a/src/bin/settings/definition.ts
+++ b/src/bin/settings/definition.ts
@@ -1,8 +1,8 @@
 import {type z} from 'zod';
 
-/** One setting. Its flag and its variable follow from its name. */
+/** One setting. Its flag and variable are derived from its name. */
 export type Setting = {
-	/** Reads the text of the flag or variable; a default makes the setting optional. */
+	/** Parses the text of the flag or variable; a default makes the setting optional. */
 	readonly schema: z.ZodType;
 	readonly description: string;
 	/** True for a flag without a value. */
@@ -14,7 +14,7 @@
 /** The typed values of a definition's settings. */
 export type SettingsOf<All extends Settings> = {readonly [Name in keyof All]: z.output<All[Name]['schema']>};
 
-/** What is wrong with one setting; it never holds the value, which may be a secret. */
+/** An error in one setting. The message must not contain the value, which may be a secret. */
 export type SettingsProblem = {
 	/** The setting's name, or undefined for the command line as a whole. */
 	readonly setting?: string;
@@ -27,26 +27,26 @@
 	/** One sentence for `--help`. */
 	readonly summary: string;
 	readonly settings: All;
-	/** Finds what is wrong between settings, once each by itself is right. */
+	/** Checks combinations of settings, after each setting has been validated by itself. */
 	readonly check?: (values: SettingsOf<All>) => readonly SettingsProblem[];
 };
 
-/** Keeps the types of a definition. */
+/** Returns a definition unchanged, with the types of its settings inferred. */
 export function defineSettings<All extends Settings>(definition: SettingsDefinition<All>): SettingsDefinition<All> {
 	return definition;
 }
 
-/** The flag of a setting, without its hyphens: `listenPort` has `listen-port`. */
+/** The flag of a setting without leading hyphens: `listen-port` for `listenPort`. */
 export function flagOf(name: string): string {
 	return name.replaceAll(/[A-Z]/gv, letter => `-${letter.toLowerCase()}`);
 }
 
-/** The environment variable of a setting: `listenPort` has `CASSIAFLOW_LISTEN_PORT`. */
+/** The environment variable of a setting: `CASSIAFLOW_LISTEN_PORT` for `listenPort`. */
 export function variableOf(name: string): string {
 	return `CASSIAFLOW_${flagOf(name).replaceAll('-', '_').toUpperCase()}`;
 }
 
-/** Everything that is wrong with a program's settings, in one message. */
+/** All errors in a program's settings, in one message. */
 export class SettingsError extends Error {
 	static create(program: string, problems: readonly SettingsProblem[]): SettingsError {
 		return new SettingsError(program, problems);
@@ -55,7 +55,7 @@
 	readonly problems: readonly SettingsProblem[];
 
 	private constructor(program: string, problems: readonly SettingsProblem[]) {
-		super([`${program}: these settings are wrong:`, ...problems.map(problem => `  ${describe(problem)}`), `See ${program} --help.`].join('\n'));
+		super([`${program}: invalid settings:`, ...problems.map(problem => `  ${describe(problem)}`), `See ${program} --help.`].join('\n'));
 		this.name = 'SettingsError';
 		this.problems = problems;
 	}
--- a/src/bin/settings/entry-settings.ts
+++ b/src/bin/settings/entry-settings.ts
@@ -4,10 +4,10 @@
 
 const mebibyte = 1_048_576;
 /**
- * Failure: a body is admitted that no frame can carry. Symptom: the caller gets an internal error in
- * place of 413. A call's body travels in one frame of 8 MiB at most, so the limit stays below that.
+ * Upper bound of the body limit. The body of a model call is sent in one frame of at most 8 MiB; a limit above
+ * that would admit bodies that fail with an internal error instead of status 413.
  */
-const largestBodyBytes = 7 * mebibyte;
+const maximumBodyBytes = 7 * mebibyte;
 
 /** Settings of `cassiaflow-entry`. */
 export const entrySettings = defineSettings({
@@ -22,7 +22,7 @@
 		...platformSettings,
 		...transportSettings,
 		noticeMilliseconds: {schema: wholeNumber(0, 600_000).default(2000), description: 'How long a stopping instance still serves new requests, until the balancer has noticed, in milliseconds.'},
-		bodyLimitBytes: {schema: wholeNumber(1, largestBodyBytes).default(4 * mebibyte), description: 'Longest request body of a model call, in bytes.'},
+		bodyLimitBytes: {schema: wholeNumber(1, maximumBodyBytes).default(4 * mebibyte), description: 'Longest request body of a model call, in bytes.'},
 	},
 	check: checkTransport,
 });
--- a/src/bin/settings/gateway-settings.ts
+++ b/src/bin/settings/gateway-settings.ts
@@ -5,36 +5,36 @@
 
 const address = z.string().regex(/^\d+\.\d+\.\d+\.\d+:\d+$/v, 'must be an IP number and a port');
 
-/** The gateway's settings file, as JSON. Fields that are not named here are ignored. */
+/** The content of the gateway's JSON settings file. Unknown fields are ignored. */
 const gatewaySettingsSchema = z.object({
-	/** The instance's name; stays the same over restarts. */
+	/** The instance's name, which stays the same across restarts. */
 	instance: z.string().min(1),
 	availabilityZone: z.string().min(1),
-	/** Where callers connect. */
+	/** The address for callers' requests. */
 	callerAddress: address,
-	/** Where the balancer asks whether this instance is ready, and operators read `/metrics`. */
+	/** The address for the balancer's readiness checks and the operators' `/metrics`. */
 	adminAddress: address,
-	/** Where other gateways connect. */
+	/** The address for connections of other gateways. */
 	peerAddress: address,
-	/** IP numbers of instances to try before any has announced itself. */
+	/** IP numbers of instances to connect to before any instance has announced itself. */
 	seedHosts: z.array(z.string()).default([]),
 	storeAddress: address,
 	memoryMegabytes: z.number().positive(),
-	/** Repeated sendings to a service, for each request to it, all instances together. */
+	/** Retries to a service per request to it, over all instances. */
 	retryRatio: z.number().nonnegative().default(0.1),
 	retrySlack: z.number().nonnegative().default(10),
 	retryWindowSeconds: z.number().positive().default(10),
-	/** An endpoint that says it leaves goes on serving for so long. */
+	/** How long an endpoint that announces its shutdown continues to serve, in milliseconds. */
 	drainMilliseconds: z.number().positive().default(2000),
-	/** What the operator changes is to be in force at every instance within this. */
+	/** The time within which an operator's change must be in force at every instance, in milliseconds. */
 	applyMilliseconds: z.number().positive().default(2000),
-	/** From the signal to the end of a planned stop, in seconds. */
+	/** The time from the signal to the end of a graceful shutdown, in seconds. */
 	stopSeconds: z.number().positive().default(8),
 	logLevel: z.enum(logLevels).default('info'),
 });
 export type GatewaySettings = z.output<typeof gatewaySettingsSchema>;
 
-/** Checks a settings text; one `SettingsError` names every wrong field. */
+/** Parses a settings file's text; throws one `SettingsError` that lists every invalid field. */
 export function parseGatewaySettings(text: string): GatewaySettings {
 	let value: unknown;
 	try {
--- a/src/bin/settings/run-program.ts
+++ b/src/bin/settings/run-program.ts
@@ -7,8 +7,8 @@
 export type ExitCode = (typeof ExitCode)[keyof typeof ExitCode];
 
 /**
- * Starts a program from the process's own command line and variables and sets the exit code. `main`
- * resolves once the program has stopped as asked; a throw is a failure and is told on standard error.
+ * Runs a program with the settings of the process's command line and environment, and sets the exit code. `main`
+ * resolves after a requested shutdown; an error that it throws is reported on standard error.
  */
 export async function runProgram<All extends Readonly<Record<string, Setting>>>(definition: SettingsDefinition<All>, main: (values: SettingsOf<All>) => Promise<void>): Promise<void> {
 	const commandLine = await readCommandLine(definition, process.argv.slice(2), process.env);
--- a/src/bin/settings/security.ts
+++ b/src/bin/settings/security.ts
@@ -9,7 +9,7 @@
 	readonly insecurePlaintext: boolean;
 };
 
-/** Reads the PEM files that checked settings name; throws one `SettingsError` for all that can't be read. */
+/** Reads the PEM files named in validated settings; throws one `SettingsError` that lists all files that can't be read. */
 export function readSecurity(program: string, files: TransportFiles): Security {
 	if (files.insecurePlaintext) {
 		return {type: 'plaintext'};
--- a/src/bin/settings/shared-settings.ts
+++ b/src/bin/settings/shared-settings.ts
@@ -5,7 +5,7 @@
 	filePath, ipNumber, port, serviceUrl, settingName, toggle, wholeNumber,
 } from './schemas.js';
 
-/** What every process of the system is told. */
+/** Settings of every process. */
 export const processSettings = {
 	zone: {schema: settingName, description: 'Availability zone this instance stands in.'},
 	instance: {schema: settingName.optional(), description: 'Name of this instance in logs; made up at start if missing.'},
@@ -15,13 +15,13 @@
 	stopMilliseconds: {schema: wholeNumber(0, 86_400_000).default(600_000), description: 'How long a graceful stop waits for requests in progress, in milliseconds.'},
 };
 
-/** Where the platform's services are. */
+/** Addresses of the platform's services. */
 export const platformSettings = {
 	logUrl: {schema: serviceUrl, description: 'Address of the platform\'s append-only log.'},
 	membersUrl: {schema: serviceUrl, description: 'Address of the platform\'s membership list.'},
 };
 
-/** How processes of the system prove themselves to each other. */
+/** Settings of the authentication between processes. */
 export const transportSettings = {
 	tlsKeyFile: {schema: filePath.optional(), description: 'PEM file with this process\'s private key, for mutual TLS between processes.'},
 	tlsCertificateFile: {schema: filePath.optional(), description: 'PEM file with this process\'s certificate.'},
@@ -39,9 +39,9 @@
 const transportFiles = ['tlsKeyFile', 'tlsCertificateFile', 'tlsAuthorityFile'] as const;
 
 /**
- * Failure: a forgotten certificate setting turns TLS off. Symptom: anyone in the network can send
- * work and read answers. Plain text therefore has to be asked for by its own flag, and never mixes
- * with certificate settings.
+ * Checks that either all TLS files or plain text is configured. If a missing certificate setting disabled TLS,
+ * anyone in the network could send requests and read responses. Plain text therefore needs its own flag, which
+ * can't be combined with certificate settings.
  */
 export function checkTransport(values: TransportValues): readonly SettingsProblem[] {
 	const given = transportFiles.filter(name => values[name] !== undefined);
--- a/src/bin/settings/tuning.ts
+++ b/src/bin/settings/tuning.ts
@@ -6,7 +6,7 @@
 	fetches: z.boolean(), fetchShare: cost, ordersBacklogs: z.boolean(), heedsLines: z.boolean(), roomMilliseconds: cost, tightFill: z.number().positive().max(1), outsideMilliseconds: cost,
 }).partial();
 
-/** The weights of placement, with what a JSON text changes of them; for measurements only. Throws with what is wrong. */
+/** Parses placement weights from JSON; missing fields keep their defaults. For benchmarks only. Throws an error that describes invalid JSON or fields. */
 export function parseTuning(text: string | undefined): Tuning {
 	if (text === undefined) {
 		return defaultTuning;
--- a/src/bin/stop-signal.ts
+++ b/src/bin/stop-signal.ts
@@ -1,6 +1,6 @@
 import process from 'node:process';
 
-/** Resolves at the first SIGTERM or SIGINT: the platform's or an operator's wish for a planned stop. */
+/** Resolves on the first SIGTERM or SIGINT, by which the platform or an operator requests a graceful shutdown. */
 export async function stopSignal(): Promise<NodeJS.Signals> {
 	return new Promise(resolve => {
 		process.once('SIGTERM', resolve);
@@ -8,15 +8,15 @@
 	});
 }
 
-/** Resolves with the work, or after the time, whichever is first; true if the work was done. */
+/** Waits for a promise, for at most `milliseconds`; resolves to true if it was fulfilled in time. Rejects if it rejects first. */
 export async function withinMilliseconds(work: Promise<unknown>, milliseconds: number): Promise<boolean> {
 	let timer: NodeJS.Timeout | undefined;
-	const patience = new Promise<boolean>(resolve => {
+	const timeout = new Promise<boolean>(resolve => {
 		timer = setTimeout(() => {
 			resolve(false);
 		}, milliseconds);
 	});
-	const done = await Promise.race([work.then(() => true), patience]);
+	const isFulfilled = await Promise.race([work.then(() => true), timeout]);
 	clearTimeout(timer);
-	return done;
+	return isFulfilled;
 }
--- a/test/bin/binaries.test.ts
+++ b/test/bin/binaries.test.ts
@@ -29,7 +29,7 @@
 	return {...ended, code};
 }
 
-/** Waits until a program says where it listens. */
+/** Waits until a program logs the addresses at which it listens. */
 async function listening(child: ChildProcess): Promise<{address: string; adminPort: number}> {
 	for await (const line of createInterface({input: child.stderr!})) {
 		if (line.includes('Listening.')) {
@@ -38,7 +38,7 @@
 		}
 	}
 
-	throw new Error('The program ended before it listened.');
+	throw new Error('The program exited before it listened.');
 }
 
 async function stop(child: ChildProcess): Promise<ExitCode> {
@@ -48,7 +48,7 @@
 	return code;
 }
 
-tap.test('every binary answers --help and --version, and refuses wrong settings with exit code 2', async t => {
+tap.test('every binary supports --help and --version, and rejects invalid settings with exit code 2', async t => {
 	for (const file of [`${bin}/cassiaflow-entry.js`, `${bin}/cassiaflow-side.js`, `${bin}/cassiaflow.js`, 'dist/fakes/cassiaflow-fake.js']) {
 		t.match(await run(file, ['--help']), {code: 0, output: /--/v}, `${file} --help`);
 		t.match(await run(file, ['--version']), {code: 0, output: /^\d+\.\d+\.\d+/v}, `${file} --version`);
@@ -60,10 +60,10 @@
 	t.match(await run(`${bin}/cassiaflow.js`, ['nonsense']), {code: 2});
 });
 
-// The commands of the README, with free ports: an operator starts one side and one entry, publishes
-// the example catalogue, and a caller is answered. Then both get SIGTERM while a stream runs: it comes
-// whole, readiness fails first, and both exit with 0.
-tap.test('the README\'s way by hand works, and SIGTERM is a planned stop', async t => {
+// Runs the commands of the README with free ports: starts one side and one entry, publishes the example catalogue
+// and makes a call. Then both processes receive SIGTERM during a stream: the stream completes, readiness fails
+// first, and both exit with 0.
+tap.test('the README\'s manual setup works, and SIGTERM is a graceful shutdown', async t => {
 	await using log = await FakeLog.create();
 	await using members = await FakeMembers.create();
 	await using engine = await FakeEngine.create({models: ['model'], costs: {stepMilliseconds: 10}});
@@ -95,10 +95,10 @@
 });
 
 async function eventually(condition: () => Promise<boolean>): Promise<void> {
-	const end = performance.now() + 20_000;
+	const deadline = performance.now() + 20_000;
 	while (!await condition()) {
-		if (performance.now() > end) {
-			throw new Error('The awaited condition did not come about.');
+		if (performance.now() > deadline) {
+			throw new Error('The condition was not met in time.');
 		}
 
 		await new Promise(resolve => {
--- a/test/bin/gateway-signals.test.ts
+++ b/test/bin/gateway-signals.test.ts
@@ -6,9 +6,9 @@
 
 const early = new URL('../../src/bin/early-hangup.js', import.meta.url).href;
 
-// The platform says that settings changed while a gateway is still loading. Without a listener the
-// signal ends the process, and the instance is gone for the time of another start.
-tap.test('a hangup during the start does not end the program', async t => {
+// The platform sends SIGHUP for changed settings while a gateway is still loading. Without a listener the signal
+// terminates the process, and the instance is unavailable until it has started again.
+tap.test('a SIGHUP during startup does not terminate the program', async t => {
 	const folder = t.testdir({});
 	const file = `${folder}/slow.mjs`;
 	writeFileSync(file, `import '${early}';\nprocess.send('loading');\nconst until = Date.now() + 300;\nwhile (Date.now() < until);\nsetTimeout(() => process.exit(7), 50);\n`);
