--- a/src/operator/catalogue-commands.ts
+++ b/src/operator/catalogue-commands.ts
@@ -9,55 +9,55 @@
 	describeProblem, parseCatalogueFile, pathOfEntry, problemAt, type FileProblem, type ParsedFile,
 } from './catalogue-file.js';
 import {requireLog, type OperatorContext} from './context.js';
-import {answered, askInstances, describeSilent, findInstances} from './instances.js';
-import {createChange, foresee, publishChange, readStream, type Publication} from './publish.js';
+import {receivedValues, queryInstances, describeUnresponsive, findInstances} from './instances.js';
+import {createChange, predictVerdict, publishChange, readStream, type Publication} from './publish.js';
 import {formatTable, formatTime, OperatorExit, type CommandResult} from './result.js';
 
-/** Checks a file by itself and, where a log is given, against the catalogue in force. */
+/** Validates a file by itself and, if a log is configured, against the catalogue in force. */
 export async function checkFile(context: OperatorContext, path: string): Promise<CommandResult> {
 	const parsed = parseCatalogueFile(path, await readFile(path, 'utf8'));
 	if (parsed.type === 'wrong') {
-		return wrongFile(parsed.problems);
+		return rejectFile(parsed.problems);
 	}
 
 	if (!context.log) {
-		return {exit: OperatorExit.ok, value: {problems: []}, text: `${path}: right by itself; give --log-url to check it against the catalogue in force.`};
+		return {exit: OperatorExit.ok, value: {problems: []}, text: `${path}: valid by itself; give --log-url to check it against the catalogue in force.`};
 	}
 
 	const {catalogue} = await readStream(context.log);
 	const change = createChange(parsed.content, catalogue, context.author);
-	const verdict = change.operations.length === 0 ? undefined : foresee(catalogue, change);
+	const verdict = change.operations.length === 0 ? undefined : predictVerdict(catalogue, change);
 	if (verdict?.type === 'rejected') {
-		return wrongFile(locateRejections(path, parsed, verdict));
+		return rejectFile(locateRejections(path, parsed, verdict));
 	}
 
-	return {exit: OperatorExit.ok, value: {problems: []}, text: `${path}: right, against revision ${catalogue.changed} of the catalogue.`};
+	return {exit: OperatorExit.ok, value: {problems: []}, text: `${path}: valid against revision ${catalogue.changed} of the catalogue.`};
 }
 
 export type PublishOptions = {
 	readonly dryRun: boolean;
-	/** Waits until every instance that answers has the change in force. */
+	/** Waits until every instance has the change in force. */
 	readonly wait: boolean;
 	readonly patienceMilliseconds: number;
 };
 
-/** Publishes a file, or with `dryRun` only tells what would change. */
+/** Publishes a file; with `dryRun` it only shows what would change. */
 export async function publishFile(context: OperatorContext, path: string, options: PublishOptions): Promise<CommandResult> {
 	const log = requireLog(context);
 	const parsed = parseCatalogueFile(path, await readFile(path, 'utf8'));
 	if (parsed.type === 'wrong') {
-		return wrongFile(parsed.problems);
+		return rejectFile(parsed.problems);
 	}
 
 	const {catalogue} = await readStream(log);
 	const change = createChange(parsed.content, catalogue, context.author);
 	if (change.operations.length === 0) {
-		return {exit: OperatorExit.ok, value: {outcome: 'unchanged'}, text: 'The catalogue is so already; nothing was published.'};
+		return {exit: OperatorExit.ok, value: {outcome: 'unchanged'}, text: 'The catalogue already matches the file; nothing was published.'};
 	}
 
-	const foreseen = foresee(catalogue, change);
-	if (foreseen.type === 'rejected') {
-		return wrongFile(locateRejections(path, parsed, foreseen));
+	const predicted = predictVerdict(catalogue, change);
+	if (predicted.type === 'rejected') {
+		return rejectFile(locateRejections(path, parsed, predicted));
 	}
 
 	const plan = describeChange(change, catalogue);
@@ -68,11 +68,11 @@
 	const publication = await publishChange(log, change, options.patienceMilliseconds);
 	const result = describePublication(publication, plan);
 	return options.wait && publication.type === 'decided' && result.exit === OperatorExit.ok
-		? waitInForce(context, publication.offset, result, options.patienceMilliseconds)
+		? waitUntilInForce(context, publication.offset, result, options.patienceMilliseconds)
 		: result;
 }
 
-/** The catalogue in force, as entries with their revisions, ready to be put into a file. */
+/** Shows the entries of the catalogue in force with their revisions, in the format of a catalogue file. */
 export async function showCatalogue(context: OperatorContext, filter: string | undefined): Promise<CommandResult> {
 	const {catalogue} = await readStream(requireLog(context));
 	const items = [...catalogue.entries].filter(([key]) => filter === undefined || key.includes(filter)).toSorted(([first], [second]) => first < second ? -1 : 1);
@@ -84,7 +84,7 @@
 	return {exit: OperatorExit.ok, value: {offset: catalogue.offset, entries}, text: formatTable(['kind', 'name', 'owner', 'revision', 'fields'], rows)};
 }
 
-/** One line for each change: who, when, what and what became of it. */
+/** Shows one line for each change: author, time, operations and verdict. */
 export async function showHistory(context: OperatorContext, limit: number): Promise<CommandResult> {
 	const records = await readChanges(context, limit);
 	const rows = records.map(({record, change}) => [
@@ -102,7 +102,7 @@
 	};
 }
 
-/** Each change in full: who, when, before, after, verdict. */
+/** Shows each change in full: author, time, verdict, and the values before and after. */
 export async function showAudit(context: OperatorContext, limit: number): Promise<CommandResult> {
 	const records = await readChanges(context, limit);
 	const text = records.map(({record, change}) => [
@@ -114,7 +114,7 @@
 
 type ReadChange = {readonly record: AppliedRecord; readonly change: Change | undefined};
 
-/** The newest changes, and what no reader understood; snapshots are no changes. */
+/** Returns the newest changes, and the rejected records that can't be parsed as changes; snapshots are omitted. */
 async function readChanges(context: OperatorContext, limit: number): Promise<readonly ReadChange[]> {
 	const {records} = await readStream(requireLog(context));
 	return records
@@ -140,7 +140,7 @@
 	}
 }
 
-/** An entry's fields that a change touches, before and after. */
+/** Describes the fields of an entry that a change modifies, before and after. */
 export function describeDifference({entry, before, after}: Difference): readonly string[] {
 	if (!after) {
 		return [`- ${entry}`];
@@ -154,7 +154,7 @@
 }
 
 function describeChange(change: Change, catalogue: Catalogue): string {
-	const verdict = foresee(catalogue, change);
+	const verdict = predictVerdict(catalogue, change);
 	const lines = verdict.type === 'accepted' ? verdict.differences.flatMap(difference => describeDifference(difference)) : [];
 	return [`By ${change.author}, against revision ${catalogue.changed} of the catalogue:`, ...lines].join('\n');
 }
@@ -173,37 +173,37 @@
 		}
 
 		case 'refused': {
-			return {exit: OperatorExit.unreachable, value: {outcome: 'refused', reason: publication.reason}, text: `${plan}\nThe log did not keep it: ${publication.reason}`};
+			return {exit: OperatorExit.unreachable, value: {outcome: 'refused', reason: publication.reason}, text: `${plan}\nThe log did not store it: ${publication.reason}`};
 		}
 
 		case 'unknown': {
 			return {
 				exit: OperatorExit.unknown,
 				value: {outcome: 'unknown', reason: publication.reason},
-				text: `${plan}\nUnknown: ${publication.reason}\nIt may come into force. Look at "cassiaflow catalogue history" before you publish again.`,
+				text: `${plan}\nUnknown: ${publication.reason}\nIt may still come into force. Check "cassiaflow catalogue history" before you publish again.`,
 			};
 		}
 	}
 }
 
-const waitPauseMilliseconds = 200;
+const statusPollMilliseconds = 200;
 
-async function waitInForce(context: OperatorContext, offset: number, published: CommandResult, patienceMilliseconds: number): Promise<CommandResult> {
-	const deadline = performance.now() + patienceMilliseconds;
+async function waitUntilInForce(context: OperatorContext, offset: number, published: CommandResult, timeoutMilliseconds: number): Promise<CommandResult> {
+	const deadline = performance.now() + timeoutMilliseconds;
 	const urls = await findInstances(context.instances, context.members);
 	for (;;) {
-		const answers = await askInstances(urls, {method: 'GET', path: '/status', schema: statusAnswerSchema});
-		const current = answered(answers).filter(status => status.catalogueOffset >= offset).length;
+		const responses = await queryInstances(urls, {method: 'GET', path: '/status', schema: statusAnswerSchema});
+		const current = receivedValues(responses).filter(status => status.catalogueOffset >= offset).length;
 		const isEverywhere = current === urls.length;
 		if (isEverywhere || performance.now() >= deadline) {
 			return {
 				exit: isEverywhere ? OperatorExit.ok : OperatorExit.unknown,
 				value: {...published.value as Record<string, unknown>, inForce: current, instances: urls.length},
-				text: [published.text, `In force at ${current} of ${urls.length} instances.`, ...describeSilent(answers)].join('\n'),
+				text: [published.text, `In force at ${current} of ${urls.length} instances.`, ...describeUnresponsive(responses)].join('\n'),
 			};
 		}
 
-		await delay(waitPauseMilliseconds);
+		await delay(statusPollMilliseconds);
 	}
 }
 
@@ -211,11 +211,11 @@
 	return verdict.reasons.map(reason => {
 		const entry = 'entry' in reason ? reason.entry : '';
 		const field = reason.type === 'invalid' ? reason.field : 'name';
-		const place = pathOfEntry(parsed.content, entry, field) ?? [];
-		return problemAt(path, parsed.locate, place, describeRejection(reason));
+		const fieldPath = pathOfEntry(parsed.content, entry, field) ?? [];
+		return problemAt(path, parsed.locate, fieldPath, describeRejection(reason));
 	});
 }
 
-function wrongFile(problems: readonly FileProblem[]): CommandResult {
+function rejectFile(problems: readonly FileProblem[]): CommandResult {
 	return {exit: OperatorExit.rejected, value: {outcome: 'wrong', problems}, text: problems.map(problem => describeProblem(problem)).join('\n')};
 }
--- a/src/operator/catalogue-file.ts
+++ b/src/operator/catalogue-file.ts
@@ -4,7 +4,7 @@
 import {type z} from 'zod';
 import {catalogueFileSchema, entryKey, type CatalogueFile} from '../catalogue/index.js';
 
-/** Something wrong in a file, and where. Lines count from 1. */
+/** An error in a file and its location. Line numbers start at 1. */
 export type FileProblem = {readonly file: string; readonly line: number; readonly field: string; readonly message: string};
 
 export type ParsedFile
@@ -13,7 +13,7 @@
 
 type FieldPath = ReadonlyArray<string | number>;
 
-/** Reads a catalogue file in YAML, of which JSON is a part, and names file, line and field of what is wrong. */
+/** Parses a catalogue file in YAML or JSON, and reports each error with file, line and field. */
 export function parseCatalogueFile(file: string, text: string): ParsedFile {
 	const lines = new LineCounter();
 	const document = parseDocument(text, {lineCounter: lines, prettyErrors: false});
@@ -32,7 +32,7 @@
 	return problems.length > 0 ? {type: 'wrong', problems} : {type: 'parsed', content: parsed.data, locate};
 }
 
-/** The place of an entry in a file, and of a field in it. */
+/** Returns the path of an entry's field in a file; undefined if the file does not contain the entry. */
 export function pathOfEntry(content: CatalogueFile, key: string, field: string): FieldPath | undefined {
 	const index = content.entries.findIndex(entry => entryKey(entry) === key);
 	if (index !== -1) {
@@ -47,7 +47,7 @@
 	return {file, line: locate(path), field: path.join('.'), message};
 }
 
-/** One problem a line, as compilers write them. */
+/** Formats a problem as one line, in the style of a compiler. */
 export function describeProblem(problem: FileProblem): string {
 	return `${problem.file}:${problem.line}: ${problem.field === '' ? '' : `${problem.field}: `}${problem.message}`;
 }
@@ -57,7 +57,7 @@
 function problemsOf(issue: z.core.$ZodIssue): readonly Finding[] {
 	const path = issue.path as Array<string | number>;
 	if (issue.code === 'unrecognized_keys') {
-		return issue.keys.map(key => ({path: [...path, key], message: 'there is no such field'}));
+		return issue.keys.map(key => ({path: [...path, key], message: 'unknown field'}));
 	}
 
 	return [{path, message: issue.message}];
@@ -65,18 +65,18 @@
 
 function duplicates(content: CatalogueFile): readonly Finding[] {
 	const seen = new Set<string>();
-	const places = [
+	const occurrences = [
 		...content.entries.map((entry, index) => ({key: entryKey(entry), path: ['entries', index, 'name']})),
 		...content.remove.map((entry, index) => ({key: entryKey(entry), path: ['remove', index, 'name']})),
 	];
-	return places.flatMap(({key, path}) => {
+	return occurrences.flatMap(({key, path}) => {
 		const isRepeated = seen.has(key);
 		seen.add(key);
-		return isRepeated ? [{path, message: `${key} stands twice in this file`}] : [];
+		return isRepeated ? [{path, message: `${key} occurs twice in this file`}] : [];
 	});
 }
 
-/** Where a field starts in the text; for one that is missing, where the thing that lacks it starts. */
+/** Returns the offset of a field in the text; for a missing field, the offset of the innermost node on its path that exists. */
 function offsetOf(document: Document.Parsed, path: FieldPath): number {
 	let offset = 0;
 	let node: unknown = document.contents;
@@ -88,12 +88,12 @@
 		const pair = isMap(node) ? node.items.find(item => isPair(item) && isScalar(item.key) && item.key.value === part) : undefined;
 		const key: unknown = pair?.key;
 		node = node.get(part, true);
-		const place = isNode(key) ? key : node;
-		if (!isNode(place)) {
+		const target = isNode(key) ? key : node;
+		if (!isNode(target)) {
 			return offset;
 		}
 
-		offset = place.range?.[0] ?? offset;
+		offset = target.range?.[0] ?? offset;
 	}
 
 	return offset;
--- a/src/operator/context.ts
+++ b/src/operator/context.ts
@@ -1,16 +1,16 @@
 import {type LogClient, type MembershipClient} from '../platform/index.js';
 
-/** What the operator's command works with. */
+/** The clients and options of the operator's command. */
 export type OperatorContext = {
 	readonly log: LogClient | undefined;
 	readonly members: MembershipClient | undefined;
-	/** Admin addresses given by hand; empty means those of the membership list. */
+	/** Admin addresses from the command line; if empty, those of the membership list are used. */
 	readonly instances: readonly string[];
-	/** Who publishes, for the audit trail. */
+	/** Name of the person who publishes, for the audit trail. */
 	readonly author: string;
 };
 
-/** A command lacks a setting; the message names its flag. */
+/** Thrown if a required setting is missing; the message names its flag. */
 export class MissingSettingError extends Error {
 	static create(flag: string): MissingSettingError {
 		return new MissingSettingError(flag);
@@ -22,7 +22,7 @@
 	}
 }
 
-/** The log, for a command that can't do without. */
+/** Returns the log client; throws `MissingSettingError` if none is configured. */
 export function requireLog({log}: OperatorContext): LogClient {
 	if (!log) {
 		throw MissingSettingError.create('--log-url (CASSIAFLOW_LOG_URL)');
--- a/src/operator/fleet-commands.ts
+++ b/src/operator/fleet-commands.ts
@@ -1,12 +1,12 @@
 import {explainAnswerSchema, quarantineAnswerSchema, statusAnswerSchema, type StatusAnswer} from '../telemetry/index.js';
 import {type OperatorContext} from './context.js';
-import {answered, askInstances, describeSilent, findInstances, type Answer, type Question} from './instances.js';
+import {receivedValues, queryInstances, describeUnresponsive, findInstances, type InstanceResponse, type InstanceRequest} from './instances.js';
 import {formatTable, formatTime, OperatorExit, type CommandResult} from './result.js';
 
-/** Every instance: its phase, its queue and the catalogue it has in force. */
+/** Shows the phase, the queue and the catalogue offset in force of every instance. */
 export async function showStatus(context: OperatorContext): Promise<CommandResult> {
-	const answers = await askFleet(context, {method: 'GET', path: '/status', schema: statusAnswerSchema});
-	const statuses = answered(answers).toSorted((first, second) => sortKey(first) < sortKey(second) ? -1 : 1);
+	const responses = await queryFleet(context, {method: 'GET', path: '/status', schema: statusAnswerSchema});
+	const statuses = receivedValues(responses).toSorted((first, second) => sortKey(first) < sortKey(second) ? -1 : 1);
 	const rows = statuses.map(status => [
 		status.role,
 		status.instance,
@@ -22,59 +22,59 @@
 		status.catalogueOffset,
 	]);
 	const table = formatTable(['role', 'instance', 'zone', 'phase', 'endpoint', 'targets', 'running', 'slots', 'waiting by tier', 'quarantined', 'peers', 'catalogue'], rows);
-	return finish(answers, {instances: statuses, silent: describeSilent(answers)}, table);
+	return finish(responses, {instances: statuses, silent: describeUnresponsive(responses)}, table);
 }
 
-/** What was decided about a request, gathered from the instances that saw it, in the order of time. */
+/** Shows the decisions about a request from all instances that handled it, in chronological order. */
 export async function explainRequest(context: OperatorContext, request: string): Promise<CommandResult> {
-	const answers = await askFleet(context, {method: 'GET', path: `/explain/${encodeURIComponent(request)}`, schema: explainAnswerSchema});
-	const decisions = answered(answers)
-		.flatMap(answer => answer.decisions.map(decision => ({instance: answer.instance, role: answer.role, ...decision})))
+	const responses = await queryFleet(context, {method: 'GET', path: `/explain/${encodeURIComponent(request)}`, schema: explainAnswerSchema});
+	const decisions = receivedValues(responses)
+		.flatMap(response => response.decisions.map(decision => ({instance: response.instance, role: response.role, ...decision})))
 		.toSorted((first, second) => first.time - second.time);
-	if (decisions.length === 0 && answered(answers).length > 0) {
-		const text = [`No instance that answered knows of ${request}: it came too long ago, or its instance is gone.`, ...describeSilent(answers)].join('\n');
-		return {exit: OperatorExit.notFound, value: {decisions, silent: describeSilent(answers)}, text};
+	if (decisions.length === 0 && receivedValues(responses).length > 0) {
+		const text = [`No instance that responded knows ${request}: its decisions have been replaced, or its instance has stopped.`, ...describeUnresponsive(responses)].join('\n');
+		return {exit: OperatorExit.notFound, value: {decisions, silent: describeUnresponsive(responses)}, text};
 	}
 
 	const rows = decisions.map(({time, role, instance, code, detail}) => [
 		formatTime(time), role, instance, code, Object.entries(detail).map(([name, value]) => `${name}: ${value}`).join('\n'),
 	]);
-	return finish(answers, {decisions, silent: describeSilent(answers)}, formatTable(['time', 'role', 'instance', 'decision', 'detail'], rows));
+	return finish(responses, {decisions, silent: describeUnresponsive(responses)}, formatTable(['time', 'role', 'instance', 'decision', 'detail'], rows));
 }
 
-/** The requests that are refused because they crashed endpoints. */
+/** Lists the requests that are refused because they crashed endpoints. */
 export async function listQuarantine(context: OperatorContext): Promise<CommandResult> {
-	const answers = await askFleet(context, {method: 'GET', path: '/quarantine', schema: quarantineAnswerSchema});
-	const held = new Map(answered(answers).flatMap(answer => answer.quarantined).map(item => [item.fingerprint, item]));
-	const rows = [...held.values()].map(({fingerprint, since, endpoints}) => [fingerprint, formatTime(since), endpoints.join(' ')]);
-	return finish(answers, {quarantined: [...held.values()], silent: describeSilent(answers)}, formatTable(['fingerprint', 'since', 'endpoints it crashed'], rows));
+	const responses = await queryFleet(context, {method: 'GET', path: '/quarantine', schema: quarantineAnswerSchema});
+	const quarantined = new Map(receivedValues(responses).flatMap(response => response.quarantined).map(item => [item.fingerprint, item]));
+	const rows = [...quarantined.values()].map(({fingerprint, since, endpoints}) => [fingerprint, formatTime(since), endpoints.join(' ')]);
+	return finish(responses, {quarantined: [...quarantined.values()], silent: describeUnresponsive(responses)}, formatTable(['fingerprint', 'since', 'endpoints it crashed'], rows));
 }
 
-/** Lets a quarantined request run again. One instance that takes the release spreads it to all. */
+/** Releases a request from quarantine. The first instance that accepts the release propagates it to all others. */
 export async function releaseQuarantine(context: OperatorContext, fingerprint: string): Promise<CommandResult> {
 	const urls = await findInstances(context.instances, context.members);
 	const silent: string[] = [];
 	for (const url of urls) {
 		const body = {release: fingerprint, author: context.author};
-		const [answer] = await askInstances([url], {method: 'POST', path: '/quarantine', body, schema: quarantineAnswerSchema});
-		if (answer?.type === 'answered') {
-			const {instance} = answer.value;
-			return {exit: OperatorExit.ok, value: {released: fingerprint, by: context.author, at: instance}, text: `Released ${fingerprint} at ${instance}; it spreads from there.`};
+		const [response] = await queryInstances([url], {method: 'POST', path: '/quarantine', body, schema: quarantineAnswerSchema});
+		if (response?.type === 'answered') {
+			const {instance} = response.value;
+			return {exit: OperatorExit.ok, value: {released: fingerprint, by: context.author, at: instance}, text: `Released ${fingerprint} at ${instance}; it is propagated from there.`};
 		}
 
-		silent.push(...describeSilent([answer!]));
+		silent.push(...describeUnresponsive([response!]));
 	}
 
 	return {exit: OperatorExit.notFound, value: {silent}, text: ['No instance released it.', ...silent].join('\n')};
 }
 
-async function askFleet<Value>(context: OperatorContext, question: Question<Value>): Promise<ReadonlyArray<Answer<Value>>> {
-	return askInstances(await findInstances(context.instances, context.members), question);
+async function queryFleet<Value>(context: OperatorContext, request: InstanceRequest<Value>): Promise<ReadonlyArray<InstanceResponse<Value>>> {
+	return queryInstances(await findInstances(context.instances, context.members), request);
 }
 
-function finish(answers: ReadonlyArray<Answer<unknown>>, value: unknown, text: string): CommandResult {
-	const exit = answered(answers).length === 0 ? OperatorExit.unreachable : OperatorExit.ok;
-	const notes = answers.length === 0 ? ['No instance is known: give --members-url or --instance.'] : describeSilent(answers);
+function finish(responses: ReadonlyArray<InstanceResponse<unknown>>, value: unknown, text: string): CommandResult {
+	const exit = receivedValues(responses).length === 0 ? OperatorExit.unreachable : OperatorExit.ok;
+	const notes = responses.length === 0 ? ['No instance is known: give --members-url or --instance.'] : describeUnresponsive(responses);
 	return {exit, value, text: [text, ...notes].join('\n')};
 }
 
--- a/src/operator/index.ts
+++ b/src/operator/index.ts
@@ -1,4 +1,4 @@
-/** The operator's commands; each takes a context and returns what to print and how to exit. */
+/** The operator's commands; each takes a context and returns its output and exit code. */
 export {MissingSettingError, type OperatorContext} from './context.js';
 export {
 	checkFile, publishFile, showAudit, showCatalogue, showHistory, type PublishOptions,
--- a/src/operator/log-files.ts
+++ b/src/operator/log-files.ts
@@ -5,29 +5,29 @@
 
 type Line = {readonly time: string; readonly instance: string; readonly msg: string; readonly fields: Readonly<Record<string, unknown>>};
 
-/** Fields that stand in each line and tell nothing of one decision. */
+/** Fields that occur in each log line and are not specific to a decision. */
 const commonFields = new Set(['name', 'instance', 'hostname', 'pid', 'level', 'msg', 'time', 'v', 'request']);
 
 /**
- * What log files of gateways say of one request, in the order of time. Other output may stand between
- * and before the JSON of a line, as a platform's collector writes it.
+ * Shows the log lines about one request from log files of gateways, in chronological order. A collector may add
+ * a prefix before the JSON of a line, or other lines in between.
  */
 export function explainFromLogs(files: readonly string[], request: string): CommandResult {
 	const lines = files.flatMap(file => readFileSync(file, 'utf8').split('\n').flatMap(text => parseLine(text, request)));
 	lines.sort((left, right) => left.time < right.time ? -1 : (left.time > right.time ? 1 : 0));
 	if (lines.length === 0) {
-		return {exit: OperatorExit.notFound, value: {lines}, text: `No line of ${files.join(', ')} names ${request}.`};
+		return {exit: OperatorExit.notFound, value: {lines}, text: `No line in ${files.join(', ')} refers to ${request}.`};
 	}
 
 	const rows = lines.map(({time, instance, msg, fields}) => [time, instance, msg, Object.entries(fields).map(([name, value]) => `${name}: ${String(value)}`).join('\n')]);
 	return {exit: OperatorExit.ok, value: {lines}, text: formatTable(['time', 'instance', 'decision', 'detail'], rows)};
 }
 
-/** Checks a gateway's settings file as its start does. */
+/** Checks a gateway's settings file in the same way as its startup does. */
 export function checkSettings(file: string): CommandResult {
 	try {
 		readGatewaySettings(file);
-		return {exit: OperatorExit.ok, value: {outcome: 'right'}, text: `${file}: right.`};
+		return {exit: OperatorExit.ok, value: {outcome: 'right'}, text: `${file}: valid.`};
 	} catch (error) {
 		if (error instanceof SettingsError) {
 			return {exit: OperatorExit.rejected, value: {outcome: 'wrong', problems: error.problems}, text: error.message};
@@ -47,7 +47,7 @@
 	try {
 		record = JSON.parse(text.slice(start)) as Record<string, unknown>;
 	} catch {
-		// A line that a collector cut off.
+		// The collector truncated this line.
 		return [];
 	}
 
--- a/src/operator/publish.ts
+++ b/src/operator/publish.ts
@@ -7,7 +7,7 @@
 import {spawn} from '../concurrency/index.js';
 import {readCatalogue, type FoldedStream, type LogClient} from '../platform/index.js';
 
-/** The operations that bring the catalogue to what a file says; entries that are so already are left out. */
+/** Returns the operations that change the catalogue to the content of a file; unchanged entries are omitted. */
 export function operationsOf(content: CatalogueFile, catalogue: Catalogue): readonly Operation[] {
 	const operations: Operation[] = [];
 	for (const {revision, ...fields} of content.entries) {
@@ -32,41 +32,41 @@
 	return typeof revision === 'number' ? {revision} : {};
 }
 
-/** Makes the change that a file asks for. */
+/** Creates the change that brings the catalogue to the content of a file. */
 export function createChange(content: CatalogueFile, catalogue: Catalogue, author: string): Change {
 	return {
 		type: 'change', id: uuidv7(), author, time: Date.now(), ...(content.note !== undefined && {note: content.note}), operations: [...operationsOf(content, catalogue)],
 	};
 }
 
-/** What would become of a change if it were published now. */
-export function foresee(catalogue: Catalogue, change: Change): RecordVerdict {
+/** Returns the verdict that a change would get if it were published now. */
+export function predictVerdict(catalogue: Catalogue, change: Change): RecordVerdict {
 	return applyChange(catalogue, catalogue.offset + 1, change).verdict;
 }
 
-/** What became of a publication. */
+/** The outcome of a publication. */
 export type Publication
 	= | {readonly type: 'decided'; readonly offset: number; readonly verdict: RecordVerdict}
-	/** The log did not keep it. */
+	/** The log did not store it. */
 		| {readonly type: 'refused'; readonly reason: string}
-	/** The answer was lost and the record has not been seen; it may still come. */
+	/** The response was lost and the record has not been found; it may still be stored. */
 		| {readonly type: 'unknown'; readonly reason: string};
 
-const firstPauseMilliseconds = 20;
-const longestPauseMilliseconds = 500;
+const initialPollMilliseconds = 20;
+const maximumPollMilliseconds = 500;
 
 /**
- * Appends a change once and waits until it has been read back. It is never appended again: a lost
- * answer does not tell whether the first append was kept, and only the record itself does.
+ * Appends a change once and waits until it has been read back. The append is never retried: after a lost response
+ * it is unknown whether the log stored the change, and only reading the record back resolves that.
  */
-export async function publishChange(log: LogClient, change: Change, patienceMilliseconds: number): Promise<Publication> {
+export async function publishChange(log: LogClient, change: Change, timeoutMilliseconds: number): Promise<Publication> {
 	const appended = await log.append(catalogueStream, change);
 	if (appended.type === 'refused') {
 		return appended;
 	}
 
-	const deadline = performance.now() + patienceMilliseconds;
-	let pause = firstPauseMilliseconds;
+	const deadline = performance.now() + timeoutMilliseconds;
+	let pollMilliseconds = initialPollMilliseconds;
 	let reason = appended.type === 'unknown' ? appended.reason : 'the record could not be read back';
 	for (;;) {
 		try {
@@ -82,19 +82,19 @@
 			return {type: 'unknown', reason};
 		}
 
-		await delay(pause);
-		pause = Math.min(pause * 2, longestPauseMilliseconds);
+		await delay(pollMilliseconds);
+		pollMilliseconds = Math.min(pollMilliseconds * 2, maximumPollMilliseconds);
 	}
 }
 
-/** Reads the catalogue stream as the log has it. */
+/** Reads the catalogue stream from the log. */
 export async function readStream(log: LogClient): Promise<FoldedStream> {
 	return spawn('read-catalogue', () => readCatalogue(log), () => {
-		// The rejection of the promise tells the caller.
+		// The caller receives the error as the rejection of the promise.
 	});
 }
 
-/** The first record with this id decides; the log may have kept it twice. */
+/** Finds the first record with this id, which decides the outcome; the log may have stored the change twice. */
 function findChange(stream: FoldedStream, id: string): Publication | undefined {
 	const record = stream.records.find(candidate => {
 		const parsed = changeSchema.safeParse(candidate.value);
--- a/src/operator/result.ts
+++ b/src/operator/result.ts
@@ -2,22 +2,22 @@
 
 /** The exit codes of the operator's command; docs/OPERATIONS.md lists them. */
 export const OperatorExit = {
-	/** Done as asked. */
+	/** Success. */
 	ok: 0,
-	/** Rejected: a file is wrong, a change is outdated or invalid, or there is nothing to release. */
+	/** Rejected: a file is invalid, or a change is outdated or invalid. */
 	rejected: 1,
-	/** The command line is wrong. */
+	/** Invalid command line. */
 	usage: 2,
-	/** It can't be told whether the change was kept; look at `catalogue history` later. */
+	/** It is unknown whether the change was stored or is in force everywhere; check `catalogue history` later. */
 	unknown: 3,
-	/** The log, the membership list or every instance asked can't be reached. */
+	/** The log, the membership list or all queried instances are unreachable. */
 	unreachable: 4,
-	/** No instance that answered knows of it. */
+	/** No instance that responded knows the request or fingerprint. */
 	notFound: 5,
 } as const;
 export type OperatorExit = (typeof OperatorExit)[keyof typeof OperatorExit];
 
-/** What a command has to say: for programs as a value, for people as text. */
+/** The result of a command: a value for programs and a text for people. */
 export type CommandResult = {
 	readonly exit: OperatorExit;
 	readonly value: unknown;
@@ -26,14 +26,14 @@
 
 type Cell = string | number | undefined;
 
-/** Rows under a head, for a terminal. */
-export function formatTable(head: readonly string[], rows: ReadonlyArray<readonly Cell[]>): string {
-	const table = new Table({head: [...head], style: {head: [], border: []}});
+/** Formats rows below a header as a table for a terminal. */
+export function formatTable(header: readonly string[], rows: ReadonlyArray<readonly Cell[]>): string {
+	const table = new Table({head: [...header], style: {head: [], border: []}});
 	table.push(...rows.map(row => row.map(cell => String(cell ?? ''))));
 	return table.toString();
 }
 
-/** A moment as an operator reads it. */
+/** Formats a timestamp in milliseconds since the Unix epoch as ISO 8601. */
 export function formatTime(milliseconds: number): string {
 	return new Date(milliseconds).toISOString();
 }
--- a/test/operator/commands.test.ts
+++ b/test/operator/commands.test.ts
@@ -44,7 +44,7 @@
 	return {log, file, context: {log: client, members: undefined, instances: [], author: 'anna'}};
 }
 
-tap.test('a wrong file is told by file, line and field', async t => {
+tap.test('errors in a file are reported with file, line and field', async t => {
 	const wrong = text.replace('tier: 0', 'tier: 7').replace('    owner: orders\n    keySha256', '    colour: red\n    keySha256');
 	t.match(parseCatalogueFile('orders.yaml', wrong), {type: 'wrong', problems: [
 		{file: 'orders.yaml', line: 3, field: 'entries.0.owner'},
@@ -55,7 +55,7 @@
 	t.match(parseCatalogueFile('orders.yaml', 'entries: [\n'), {type: 'wrong'});
 });
 
-tap.test('a file is checked, published once, shown and audited', async t => {
+tap.test('a file is checked, published only once, shown and audited', async t => {
 	const {file, context} = await setUp(t, text);
 	t.match(await checkFile(context, file), {exit: OperatorExit.ok});
 	t.match(await publishFile(context, file, {...options, dryRun: true}), {exit: OperatorExit.ok});
@@ -71,9 +71,9 @@
 	t.match(await checkFile(context, file), {exit: OperatorExit.rejected, text: /catalogue\.yaml:9: /v});
 });
 
-tap.test('of two operators who edit one revision the later is told that it lost', async t => {
-	// Both read the catalogue before either publishes. The log keeps both records; every reader
-	// accepts the first only, and the second operator sees `rejected` and what is current now.
+tap.test('of two concurrent edits of one revision, the later is rejected', async t => {
+	// Both operators read the catalogue before either publishes. The log stores both records, but every reader
+	// accepts only the first; the second operator sees `rejected` and the current revision.
 	const {context} = await setUp(t, text);
 	const {catalogue} = await readStream(context.log);
 	const first = createChange(fileOf(sampleModel('menu')), catalogue, 'anna');
@@ -82,10 +82,10 @@
 	t.match(await publishChange(context.log, second, 20_000), {type: 'decided', verdict: {type: 'rejected', reasons: [{type: 'outdated'}]}});
 });
 
-tap.test('a lost answer is resolved by reading, and without reading it is unknown', async t => {
-	// The operator sees `accepted` though the log's answer was lost after it kept the record; the
-	// record is found by its id. With the log unreadable as well the operator sees `unknown`, and
-	// the change is in force later all the same.
+tap.test('a lost response is resolved by reading the log, and is unknown if the log is unreadable', async t => {
+	// The log stores the record, but its response is lost: the record is found by its id and the operator sees
+	// `accepted`. If the log is unreadable as well, the operator sees `unknown`, although the change comes into
+	// force later.
 	const {log, file, context} = await setUp(t, text);
 	log.faults.loseAnswers = 1;
 	log.faults.duplicateAppends = 1;
@@ -106,20 +106,20 @@
 	t.equal(later.catalogue.model('menu')?.version, '1');
 });
 
-tap.test('the fleet is found by the membership list and tells status, decisions and quarantine', async t => {
+tap.test('instances are found through the membership list and report status, decisions and quarantine', async t => {
 	const journal = DecisionJournal.create({now: () => 5});
 	journal.record('request-1', ReasonCode.limited, {limit: 'requestsPerSecond'});
-	let held = [{fingerprint: 'abc', since: 1, endpoints: ['engine-1', 'engine-2']}];
+	let quarantined = [{fingerprint: 'abc', since: 1, endpoints: ['engine-1', 'engine-2']}];
 	const routes = createOperatorRoutes({
 		instance: 'entry-1',
 		role: 'entry',
 		journal,
 		quarantine: {
-			list: () => held,
+			list: () => quarantined,
 			async release({release}) {
-				const before = held.length;
-				held = held.filter(item => item.fingerprint !== release);
-				return held.length < before;
+				const previousCount = quarantined.length;
+				quarantined = quarantined.filter(item => item.fingerprint !== release);
+				return quarantined.length < previousCount;
 			},
 		},
 		status: () => ({zone: 'lima-a', phase: 'serving', catalogueOffset: 4, running: 1, waiting: [0, 0, 2], quarantined: 1, peers: 3}),
--- a/test/operator/log-files.test.ts
+++ b/test/operator/log-files.test.ts
@@ -2,7 +2,7 @@
 import tap from 'tap';
 import {checkSettings, explainFromLogs, OperatorExit} from '../../src/operator/index.js';
 
-tap.test('a request is followed through log files, whatever stands around its lines', async t => {
+tap.test('a request is traced through log files with other output around its lines', async t => {
 	const folder = t.testdir({
 		'a.log': [
 			'  12.1 front-a {"instance":"a","request":"r1","msg":"Request: Sent.","endpoint":"e1","outcome":"failed","reason":"socket hang up","time":"2026-01-01T00:00:02Z"}',
@@ -18,18 +18,18 @@
 	t.equal(explainFromLogs([`${folder}/b.log`], 'r9').exit, OperatorExit.notFound);
 });
 
-tap.test('a settings file is checked with every wrong field named at once', async t => {
+tap.test('checking a settings file reports every invalid field at once', async t => {
 	const folder = t.testdir({});
-	const right = {
+	const valid = {
 		instance: 'a', availabilityZone: 'z', callerAddress: '10.0.0.1:1', adminAddress: '10.0.0.1:2', peerAddress: '10.0.0.1:3', storeAddress: '10.0.0.2:4', memoryMegabytes: 200, novel: 1,
 	};
-	writeFileSync(`${folder}/right.json`, JSON.stringify(right));
-	writeFileSync(`${folder}/wrong.json`, JSON.stringify({...right, callerAddress: 'here', memoryMegabytes: -1}));
+	writeFileSync(`${folder}/right.json`, JSON.stringify(valid));
+	writeFileSync(`${folder}/wrong.json`, JSON.stringify({...valid, callerAddress: 'here', memoryMegabytes: -1}));
 	writeFileSync(`${folder}/text.json`, 'not json');
 	t.equal(checkSettings(`${folder}/right.json`).exit, OperatorExit.ok, 'unknown fields are ignored');
-	const wrong = checkSettings(`${folder}/wrong.json`);
-	t.equal(wrong.exit, OperatorExit.rejected);
-	t.match(wrong.text, /callerAddress[\s\S]*memoryMegabytes/v);
+	const invalid = checkSettings(`${folder}/wrong.json`);
+	t.equal(invalid.exit, OperatorExit.rejected);
+	t.match(invalid.text, /callerAddress[\s\S]*memoryMegabytes/v);
 	t.match(checkSettings(`${folder}/text.json`).text, /not JSON/v);
 	t.throws(() => checkSettings(`${folder}/missing.json`), /ENOENT/v);
 });
