--- a/src/policy/dispatch/contention.ts
+++ b/src/policy/dispatch/contention.ts
@@ -1,16 +1,19 @@
 import {backlogPropagations} from './engine-cost.js';
 
 /**
- * Limits how many requests of all instances together take a free place within one propagation delay, in multiples of
- * what the endpoint prefills in that time; a random draw selects them. Without the limit, once the backlog of an
- * endpoint falls below its bound, every instance with a waiting request sends one before it receives the load reports
- * of the others; first events then come after five times the predicted time, and urgent requests wait behind them.
+ * Limits how many requests of all instances together are sent to an available endpoint within one propagation delay, in
+ * multiples of the number that the endpoint prefills in that time; a random draw selects them. Without the limit, once
+ * the backlog of an endpoint falls below its bound, every instance with a waiting request sends one before it receives
+ * the load reports of the others; first events then come after five times the predicted time, and urgent requests wait
+ * behind them.
  */
 const sendFactor = 2.5;
 
-/** What determines how many requests of all instances should take one free place within one propagation delay. */
+/**
+ * What determines how many requests of all instances are sent to one available endpoint within one propagation delay.
+ */
 export type Contention = {
-	/** Requests at other instances that are assumed to compete for the same place. */
+	/** Requests at other instances that are assumed to compete for the same endpoint. */
 	readonly contenders: number;
 	/** Time between two placement searches for one of these requests. */
 	readonly searchIntervalMilliseconds: number;
--- a/src/policy/dispatch/endpoint-health.ts
+++ b/src/policy/dispatch/endpoint-health.ts
@@ -2,7 +2,7 @@
  * Health of one endpoint as its responses show it. Load pattern: an endpoint crashes, hangs or fails part of its
  * requests while its liveness check passes. Least-loaded placement then prefers it, because requests that fail fast
  * leave its slots free. Its failures are compared with the failure share that is usual for the service, since some
- * services fail part of their requests by themselves.
+ * services fail part of their requests at every endpoint.
  */
 export type EndpointHealth = {
 	/** Share of recent requests that failed, weighted toward the newest. */
@@ -28,8 +28,8 @@
 /** Weight of one response in the failure share: about the last ten count. */
 const responseWeight = 0.1;
 /**
- * An endpoint is suspended when its failure share exceeds the usual one by this much: more than a service's own errors,
- * less than an endpoint that fails four requests in ten.
+ * An endpoint is suspended when its failure share exceeds the usual one by this much. That is more than the errors that
+ * a service returns by its nature, and less than the share of an endpoint that fails four requests in ten.
  */
 const excessFailureShare = 0.3;
 /**
--- a/src/policy/dispatch/engine-cost.ts
+++ b/src/policy/dispatch/engine-cost.ts
@@ -16,8 +16,9 @@
  * nothing waits.
  *
  * Below a lower bound of one and a half propagation delays, engines would idle between two placements. Above an upper
- * bound of four times that, an urgent stream would find a prompt or two ahead of it. Backlogs change by more than the
- * lower bound before all instances have received the reports, so a smaller factor would order nothing.
+ * bound of four times that, an urgent stream would wait for one or two prompts that were sent before it. Backlogs
+ * change by more than the lower bound before all instances have received the reports, so a smaller factor between the
+ * bounds would have no effect on the order.
  */
 export const backlogPropagations = 1.5;
 const mostUrgentFactor = 4;
@@ -64,8 +65,8 @@
 const safePauseShare = 0.5;
 const exceededPauseWeight = 4;
 /**
- * Expected time beyond this share of the target counts as lateness; its weight makes being late cost more than being
- * early gains.
+ * Expected time beyond this share of the target counts as lateness; with its weight, a late first event costs more than
+ * an equally early one gains.
  */
 const latenessTargetShare = 0.7;
 const latenessWeight = 3;
@@ -92,7 +93,10 @@
 	readonly visibleShare: number;
 	/** Random draw, from a hash of the request, that selects the engine at which a latency-critical stream starts. */
 	readonly startOffset: number;
-	/** Engines with most of the prompt cached; computed for the first engine that would have to prefill much. */
+	/**
+	 * The engines with the largest cached part of the prompt, one for each availability zone; computed for the first
+	 * engine that would have to prefill much.
+	 */
 	readonly holders: () => readonly CacheHolder[];
 };
 
--- a/src/policy/dispatch/failover.ts
+++ b/src/policy/dispatch/failover.ts
@@ -1,14 +1,18 @@
 /**
- * Decides when a request leaves a silent endpoint. Load pattern: an endpoint hangs with requests that may be repeated,
- * or its stream falls silent. If these requests waited to the end, their callers would get nothing although other
- * endpoints have time. After a few targets, or a few of its longest pauses, a request goes to another endpoint while
- * its response can still be late but useful.
+ * Decides when a request leaves a silent endpoint, one that sends no events. Load pattern: an endpoint hangs with
+ * requests that may be repeated, or its stream stops. If these requests waited until their deadline, their callers
+ * would get no response although other endpoints have free capacity. After a small multiple of its target without a
+ * first event, or of its longest pause without a next event, a request goes to another endpoint while its response can
+ * still be late but useful.
  */
 
-/** Targets without a first event, and predicted times, whichever is longer. */
+/**
+ * Multiples of the target and of the predicted time after which a request without a first event leaves the endpoint;
+ * the longer of the two times counts.
+ */
 const firstEventFactors = {targets: 2.5, predictions: 2};
-/** Longest pauses without a next event. */
-const maxPauses = 4;
+/** Multiple of the longest pause after which a request without a next event leaves the endpoint. */
+const pauseFactor = 4;
 
 /** Timing of one attempt, in milliseconds. */
 export type AttemptTiming = {
@@ -25,5 +29,5 @@
 export function failoverAt({sentAt, lastEventAt, targetMilliseconds, longestPauseMilliseconds, expectedMilliseconds}: AttemptTiming): number {
 	return lastEventAt === undefined
 		? sentAt + Math.max(targetMilliseconds * firstEventFactors.targets, expectedMilliseconds * firstEventFactors.predictions)
-		: lastEventAt + ((longestPauseMilliseconds ?? targetMilliseconds) * maxPauses);
+		: lastEventAt + ((longestPauseMilliseconds ?? targetMilliseconds) * pauseFactor);
 }
--- a/src/policy/dispatch/forecast.ts
+++ b/src/policy/dispatch/forecast.ts
@@ -1,18 +1,20 @@
 /**
- * Predicts how long a request will wait in the queue. Load pattern: demand above what the endpoints can do. A request
- * that waits until its time is over has waited in vain, and all such callers come back together. So a request is
- * checked as soon as it arrives for whether it can still start in time: by the work queued ahead of it, at the rate at
- * which this instance has recently placed work, or at its equal share of what the endpoints can do, whichever is more.
+ * Predicts how long a request will wait in the queue. Load pattern: demand above the capacity of the endpoints. If a
+ * request is not placed before its time is over, its wait was useless, and the callers of all such requests come back
+ * together. Each request is therefore checked on arrival for whether it can still start in time: by the work queued
+ * ahead of it, at the rate at which this instance has recently placed work, or at its equal share of the capacity of
+ * the endpoints, whichever is more.
  */
 import {type Candidate} from './demand.js';
 
 /**
- * Bounds of the time after which a refused caller is told to come back: callers honour a third of the time they have.
+ * Bounds of the time after which a refused caller is told to come back: a caller waits for no more than a third of the
+ * time it has.
  */
 const retryAfterBounds = {low: 150, high: 2000};
-/** Jitter as a share of the wait, in both directions, so that callers refused together come back apart. */
+/** Jitter as a share of the wait, in both directions, so that callers refused together come back at different times. */
 const retryJitterShare = 0.25;
-/** Share of prompt tokens that engines are assumed to prefill until anything was placed. */
+/** Share of prompt tokens that engines are assumed to prefill before the first placement. */
 const initialPrefillShare = 0.6;
 /** Weight of one placement in that share: about the last fifty count. */
 const prefillShareWeight = 0.02;
@@ -20,7 +22,7 @@
 /** Requests of a service that are queued ahead of one, and their work. */
 export type QueuedAhead = {readonly count: number; readonly work: number};
 
-/** What the endpoints of a service and this instance can do. */
+/** Capacity of the endpoints of a service, and recent rates of this instance. */
 export type Capacity = {
 	readonly candidates: readonly Candidate[];
 	/** Instances that share the endpoints. */
--- a/src/policy/dispatch/load-rows.ts
+++ b/src/policy/dispatch/load-rows.ts
@@ -12,7 +12,10 @@
  * sends and receives no more than about 500 messages a second, some 2% of a core.
  */
 const batchBounds = {least: 15, perPeer: 2, most: 60};
-/** Transit time of a message: coding, a millisecond or two between availability zones, and a turn of the event loop. */
+/**
+ * Transit time of a message: encoding and decoding, a millisecond or two between availability zones, and an iteration
+ * of the event loop.
+ */
 const transitMilliseconds = 5;
 
 /** Time for which load events are collected before they are sent to this many peers. */
--- a/src/policy/dispatch/load.ts
+++ b/src/policy/dispatch/load.ts
@@ -58,7 +58,8 @@
 type OpenSpan = {readonly startedAt: number; readonly isFromIdle: boolean; prefilledTokens: number; prefilledRuns: number; isInvalid: boolean};
 
 /**
- * Under load a span has no end of its own: it is taken as a sample after this many prompts, and the next one begins.
+ * Under load an engine prefills without a break, so that a span would not end: it is taken as a sample after this many
+ * prompts, and the next one begins.
  */
 const maxSpanRuns = 8;
 
@@ -164,9 +165,9 @@
 	}
 
 	prefillSpeed(service: string): PrefillSpeed {
-		const held = this.#speeds.get(service) ?? createPrefillSpeed();
-		this.#speeds.set(service, held);
-		return held;
+		const speed = this.#speeds.get(service) ?? createPrefillSpeed();
+		this.#speeds.set(service, speed);
+		return speed;
 	}
 
 	/** Average service time of a request at a plain service. */
--- a/src/policy/dispatch/not-ready.ts
+++ b/src/policy/dispatch/not-ready.ts
@@ -1,12 +1,12 @@
 /**
- * Load pattern: all instances lose power while the store is down, so that none has a routing table. Callers come back
- * once, after the time they are told; if the outage lasts longer than that, all of them are refused again. An outage
- * that has lasted for a while is likely to last as long again, and a late response is worth more than a second refusal.
- * A usual start reads the table within the lower bound. Callers honour a third of the time they have, so that more than
- * the upper bound is never waited.
+ * Load pattern: all instances lose power while the store is down, so that none has a routing table. Each caller comes
+ * back once, after the retry delay that it was given; if the outage lasts longer than that, all callers are refused
+ * again. An outage that has lasted for a while is likely to last as long again, and a late response is worth more than
+ * a second refusal. An instance that starts normally reads the table within the lower bound. A caller waits for no more
+ * than a third of the time it has, so that it would never wait for longer than the upper bound.
  */
-const bounds = {low: 400, high: 5000};
-/** Factor on the elapsed time: three in five callers of an outage then come back after its end. */
+const retryAfterBounds = {low: 400, high: 5000};
+/** Factor on the elapsed time; with it, three in five callers refused in an outage come back after its end. */
 const elapsedFactor = 1.5;
 
 /**
@@ -14,5 +14,5 @@
  * had none.
  */
 export function retryAfterWithoutTable(elapsedMilliseconds: number): number {
-	return Math.min(bounds.high, Math.max(bounds.low, elapsedMilliseconds * elapsedFactor));
+	return Math.min(retryAfterBounds.high, Math.max(retryAfterBounds.low, elapsedMilliseconds * elapsedFactor));
 }
--- a/src/policy/dispatch/peer-queues.ts
+++ b/src/policy/dispatch/peer-queues.ts
@@ -1,11 +1,12 @@
 /**
- * Load pattern: demand above what the endpoints can do, and each of many instances has a queue of its own. A balancer
- * spreads callers unevenly: where few requests arrive, drafts take the places that confirmations wait for at other
- * instances, and those confirmations are refused.
+ * Load pattern: demand above the capacity of the endpoints, and each of many instances has a queue of its own. A load
+ * balancer spreads callers unevenly: where few requests arrive, drafts (requests of low urgency) take the capacity for
+ * which confirmations (requests of high urgency) wait at other instances, and those confirmations are refused.
  *
  * Instances report to each other which urgencies wait. A request that is less urgent than one that waits at another
  * instance yields: it leaves endpoints and slots that the more urgent requests then fill. An endpoint that stays idle
- * all the same is open to any request, so that none is held up for a queue that can't use it.
+ * nevertheless may take any request, so that no request is delayed for the sake of requests that can't use that
+ * endpoint.
  */
 import {compareUrgency, type UrgencyPair} from '../../routing/index.js';
 import {isAtRisk} from './waiting-queue.js';
@@ -17,18 +18,21 @@
 export type QueueReport = {readonly type: 'waiting'; readonly owner: string; readonly service: string; readonly urgencies: readonly UrgencyCount[]};
 
 /**
- * Urgencies that one instance reports for a service, those at risk first and then the most urgent: the others come
- * after these anyway.
+ * Number of urgencies that one instance reports for a service. Those at risk come first, then the most urgent; the
+ * remaining ones are tried after these anyway.
  */
 const maxReportedUrgencies = 4;
-/** A shorter wait is usual without any shortage: two placement searches and the transit of a message. */
+/**
+ * Shorter waits are not reported, since they occur without any shortage: two placement searches and the transit of a
+ * message.
+ */
 const minReportedWaitMilliseconds = 40;
 /**
  * Time between two reports while requests wait. They are sent in the messages of load, of which a busy instance sends
  * 15 to 60 a second.
  */
 const reportIntervalMilliseconds = 100;
-/** Time for which a report counts: two successive ones may be late. */
+/** Time for which a report counts; two successive reports may be late without effect. */
 const reportLifetimeMilliseconds = 300;
 
 type ReceivedReport = {readonly urgencies: readonly UrgencyCount[]; readonly receivedAt: number};
@@ -58,10 +62,10 @@
 	}
 
 	/**
-	 * Whether a request waits at another instance that is more urgent by workspace and by route, or that is at risk and
-	 * of a more urgent route. Where workspace and route disagree, a draft of a workspace that goes first does not hold
-	 * up a confirmation of one that doesn't: the order of backlogs is enough there, and yielding would leave a route
-	 * without any place.
+	 * Whether a more urgent request waits at another instance: one that is more urgent by workspace and by route, or
+	 * one that is at risk and of a more urgent route. Where workspace and route disagree, a draft of a workspace with
+	 * precedence does not make a confirmation of another workspace yield: the order of backlogs is sufficient there,
+	 * and yielding would leave a route without any capacity.
 	 */
 	hasMoreUrgent(service: string, urgency: UrgencyPair, now: number): boolean {
 		for (const {urgencies, receivedAt} of this.#reports.get(service)?.values() ?? []) {
@@ -73,7 +77,7 @@
 		return false;
 	}
 
-	/** Number of requests at other instances that would be tried before one of this urgency, or beside it. */
+	/** Number of requests at other instances that are tried before one of this urgency, or are of equal urgency. */
 	countAhead(service: string, urgency: UrgencyPair, now: number): number {
 		let ahead = 0;
 		for (const {urgencies, receivedAt} of this.#reports.get(service)?.values() ?? []) {
@@ -86,7 +90,7 @@
 	}
 }
 
-/** Whether `other` goes before `urgency`; one without a workspace counts by its route alone. */
+/** Whether `other` precedes `urgency`; an urgency without a workspace is compared by its route alone. */
 function isMoreUrgent(other: UrgencyPair, urgency: UrgencyPair): boolean {
 	return other.workspace === undefined ? other.route < urgency.route : compareUrgency(other, urgency) < 0;
 }
@@ -138,7 +142,7 @@
 		this.#owner = owner;
 	}
 
-	/** Whether a report may be due; checked at each scan of the queue, so that requests are not counted in vain. */
+	/** Whether a report may be due; checked at each scan of the queue, so that requests are counted only if it is. */
 	isDue(isWaiting: boolean, now: number): boolean {
 		return !isWaiting || now - this.#reportedAt >= reportIntervalMilliseconds;
 	}
--- a/src/policy/dispatch/placement.ts
+++ b/src/policy/dispatch/placement.ts
@@ -19,11 +19,11 @@
 /** Milliseconds of a round trip to another availability zone, and the cost of its traffic. */
 const otherZoneMilliseconds = 3;
 /**
- * Weights of prefill time in a cost: the caller waits for it, and then all requests behind it do, of which there are
- * the more, the more of its time the service spends on prefill. Without the second weight, at the edge of overload
- * requests stop waiting for the engine that has their prefix cached and have it prefilled elsewhere, which doubles the
- * work of the service, so that it never recovers. At full load a cached token is therefore waited for up to fifty times
- * its prefill time, which is longer than callers have.
+ * Weights of prefill time in a cost. The caller waits for the prefill, and so do all requests behind it, whose number
+ * grows with the share of its time that the service spends on prefill; the second weight stands for these. Without it,
+ * at the edge of overload requests stop waiting for the engine that has their prefix cached and have it prefilled
+ * elsewhere, which doubles the work of the service, so that it never recovers. At full load a request therefore waits
+ * for a cached token up to fifty times its prefill time, which is longer than the time that callers have.
  */
 const prefillWeight = 5;
 const busyPrefillWeight = 45;
@@ -35,20 +35,20 @@
 const startOffsetSalt = 0x5E_ED_51;
 
 /**
- * Share of the engines at one of which a latency-critical stream starts, if its instance knows almost nothing of the
- * fleet. Without it, when all callers come back in one moment, before any instance has reports of the others'
- * latency-critical streams, all of them go to the first engine.
+ * Share of the engines from which the starting position of a latency-critical stream is drawn, if its instance receives
+ * almost no load reports of the fleet. Without it, when all callers come back in one moment, before any instance has
+ * reports of the others' latency-critical streams, all of them go to the first engine.
  */
 const unreportedStartShare = 0.15;
 
 /**
- * Share of the unreported load that is assumed to be distributed like the reported load; single engines vary too much
- * to go by their reports alone.
+ * Share of the unreported load that is assumed to be distributed like the reported load. The reported loads of single
+ * engines vary too much to be relied on alone.
  */
 const proportionalShare = 0.2;
 /**
- * Of many engines the one that looks emptiest is fuller than it looks: the standard error of the unreported runs, times
- * this factor, is added to the estimate of each engine.
+ * Of many engines, the one with the lowest estimated load is likely to have more than estimated: the standard error of
+ * the unreported runs, times this factor, is added to the estimate of each engine.
  */
 const unreportedErrorFactor = 0.75;
 
@@ -131,14 +131,14 @@
 	reservedCount: number; latencyCriticalRuns: number; visibleShare: number;
 }): EndpointLoad[] {
 	const unreportedPerReported = (1 - visibleShare) / visibleShare;
-	const add = (reported: number, mean: number): number => reported + (unreportedPerReported * ((reported * proportionalShare) + (mean * (1 - proportionalShare))));
+	const addUnreported = (reported: number, mean: number): number => reported + (unreportedPerReported * ((reported * proportionalShare) + (mean * (1 - proportionalShare))));
 	const mean = {running: meanOf(loads, ({running}) => running), backlog: meanOf(loads, ({backlogMilliseconds}) => backlogMilliseconds)};
 	return loads.map((load, position) => position < reservedCount
 		? {...load, running: load.running / visibleShare, latencyCriticalRuns: Math.max(load.latencyCriticalRuns / visibleShare, latencyCriticalRuns / reservedCount)}
-		: {...load, running: withError(add(load.running, mean.running), load.running), backlogMilliseconds: add(load.backlogMilliseconds, mean.backlog)});
+		: {...load, running: addStandardError(addUnreported(load.running, mean.running), load.running), backlogMilliseconds: addUnreported(load.backlogMilliseconds, mean.backlog)});
 }
 
-function withError(estimated: number, reported: number): number {
+function addStandardError(estimated: number, reported: number): number {
 	return estimated + (unreportedErrorFactor * Math.sqrt(estimated - reported));
 }
 
--- a/src/policy/dispatch/prefix-affinity.ts
+++ b/src/policy/dispatch/prefix-affinity.ts
@@ -3,10 +3,10 @@
 import {type PromptPart} from './prefix-cache.js';
 
 /**
- * Gains of the first four preferred endpoints of a prompt's prefix by rendezvous hashing. The first is about the
- * prefill time that a cached prefix saves, so that instances agree also on where a prefix goes first, and what that
- * endpoint can't take meets on the next. Without the gains, many instances send what exceeds an endpoint to the same
- * idle one before they receive each other's reports.
+ * Gains of the first four preferred endpoints of a prompt's prefix by rendezvous hashing. The first gain is about the
+ * prefill time that a cached prefix saves, so that instances also agree on the endpoint that prefills a prefix first,
+ * and send the requests that this endpoint can't take to the same next one. Without the gains, many instances send what
+ * exceeds an endpoint to the same idle one before they receive each other's reports.
  */
 const preferenceMilliseconds = [80, 40, 20, 10] as const;
 /**
@@ -20,16 +20,16 @@
  * left out.
  */
 export function preferredEndpoints(parts: readonly PromptPart[], candidates: readonly Candidate[], reservedCount: number): readonly string[] {
-	const shared = parts.at(-2);
-	if (shared === undefined) {
+	const lastSharedPart = parts.at(-2);
+	if (lastSharedPart === undefined) {
 		return [];
 	}
 
 	const preferred: Array<{id: string; score: number}> = [];
 	for (const [index, {id, hash}] of candidates.entries()) {
-		const score = mixHashes(shared.id, hash);
-		const last = preferred.at(preferenceMilliseconds.length - 1);
-		if (index < reservedCount || (last !== undefined && score <= last.score)) {
+		const score = mixHashes(lastSharedPart.id, hash);
+		const lowestPreferred = preferred.at(preferenceMilliseconds.length - 1);
+		if (index < reservedCount || (lowestPreferred !== undefined && score <= lowestPreferred.score)) {
 			continue;
 		}
 
--- a/src/policy/dispatch/prefix-cache.ts
+++ b/src/policy/dispatch/prefix-cache.ts
@@ -51,18 +51,20 @@
 	}
 
 	/**
-	 * Takes over what the endpoint itself reports as cached, least recently used first; parts that are on their way
-	 * there stay.
+	 * Takes over the parts that the endpoint itself reports as cached, least recently used first. Parts that were sent
+	 * there and are not prefilled yet stay.
 	 */
 	replace(parts: readonly PromptPart[]): void {
-		const pending = [...this.#parts].filter(([, {isPrefilled: isRead}]) => !isRead).map(([id, {tokens}]) => ({id, tokens}));
+		const pending = [...this.#parts].filter(([, {isPrefilled}]) => !isPrefilled).map(([id, {tokens}]) => ({id, tokens}));
 		this.clear();
 		this.use(parts);
 		this.markPrefilled(parts);
 		this.use(pending);
 	}
 
-	/** Tokens that the endpoint will have to prefill when it comes to this prompt. */
+	/**
+	 * Tokens of this prompt that the endpoint will have to prefill once it has prefilled what was sent to it before.
+	 */
 	uncachedTokens(parts: readonly PromptPart[]): number {
 		return tokensFrom(parts, parts.findIndex(({id}) => !this.#parts.has(id)));
 	}
@@ -72,7 +74,7 @@
 		return tokensFrom(parts, parts.findIndex(({id}) => this.#parts.get(id)?.isPrefilled !== true));
 	}
 
-	/** Marks parts as used: they are on their way here, or in use now. */
+	/** Marks parts as used: a prompt that contains them was sent here or is being processed. */
 	use(parts: readonly PromptPart[]): void {
 		for (const {id, tokens} of parts) {
 			const cached = this.#parts.get(id);
--- a/src/policy/dispatch/retry-share.ts
+++ b/src/policy/dispatch/retry-share.ts
@@ -13,7 +13,8 @@
 };
 
 /**
- * Share of the allowance that is spent; the rest covers what other instances count differently at the edge of a window.
+ * Share of the allowance that is spent; the rest is a margin for requests and retries at the edge of a window, which
+ * other instances may count in another window.
  */
 const usableShare = 0.6;
 /** Buckets in a window; the window slides by one bucket. */
--- a/src/policy/dispatch/scan-results.ts
+++ b/src/policy/dispatch/scan-results.ts
@@ -2,15 +2,15 @@
  * Load pattern: a hundred requests wait at one instance, most of them of two or three urgencies. A placement search
  * over all endpoints for one of them costs as much processor time as forwarding an event.
  *
- * If each scan of the queue searched for each waiting request, a longer queue would be scanned more rarely; places that
- * come free would go to instances where few requests wait, which send drafts, while confirmations are refused where
- * many wait. What an endpoint may take depends on the urgency alone, so one search that found no available endpoint is
- * enough for a whole group.
+ * If each scan of the queue searched for each waiting request, a longer queue would be scanned more rarely. Capacity
+ * that becomes free would go to instances with few waiting requests, which send drafts (requests of low urgency), while
+ * confirmations (requests of high urgency) are refused at instances with many. What an endpoint may take depends on the
+ * urgency alone, so one search that found no available endpoint is enough for a whole group.
  */
 import {type UrgencyPair} from '../../routing/index.js';
 
 /**
- * Key of the group of requests to which the same endpoints are open: those of one service and urgency that are not
+ * Key of the group of requests that the same endpoints may take: those of one service and urgency that are not
  * latency-critical.
  */
 export function groupKeyOf({service, urgency}: {readonly service: string; readonly urgency: UrgencyPair}): string {
@@ -18,10 +18,11 @@
 }
 
 /**
- * Searches of a group that may find an endpoint without getting it, for each endpoint of its service: some requests
- * wait for the engine that has their prefix cached, and some places go to others by the random draw.
+ * Searches of a group, for each endpoint of its service, that may find an available endpoint without placing the
+ * request before the group is taken to wait: some requests wait for the engine that has their prefix cached, and some
+ * are not sent because a random draw leaves the endpoint to other instances.
  */
-const missesPerEndpoint = 2;
+const maxUnplacedSearchesPerEndpoint = 2;
 
 /** Results of one scan of the queue; the next scan starts without any. */
 export class ScanResults {
@@ -31,7 +32,7 @@
 
 	/** Milliseconds until the best endpoint may take a request of the group. */
 	readonly #waits = new Map<string, number>();
-	readonly #misses = new Map<string, number>();
+	readonly #unplacedSearches = new Map<string, number>();
 
 	/**
 	 * Time a group has to wait, as a search for one of its requests has found; undefined while further searches are
@@ -46,11 +47,14 @@
 		this.#waits.set(group, milliseconds);
 	}
 
-	/** Records that a request of the group found an endpoint and didn't get it. */
+	/**
+	 * Records that a search for a request of the group found an available endpoint, but the request was not placed
+	 * there.
+	 */
 	recordMiss(group: string, {endpoints, milliseconds}: {readonly endpoints: number; readonly milliseconds: number}): void {
-		const misses = (this.#misses.get(group) ?? 0) + 1;
-		this.#misses.set(group, misses);
-		if (misses >= endpoints * missesPerEndpoint) {
+		const unplacedSearches = (this.#unplacedSearches.get(group) ?? 0) + 1;
+		this.#unplacedSearches.set(group, unplacedSearches);
+		if (unplacedSearches >= endpoints * maxUnplacedSearchesPerEndpoint) {
 			this.#waits.set(group, milliseconds);
 		}
 	}
--- a/src/policy/dispatch/speed.ts
+++ b/src/policy/dispatch/speed.ts
@@ -4,9 +4,9 @@
  * are sent where they can't be prefilled in time.
  *
  * A sample is a span in which one engine always had prefill to do: the tokens it prefilled, and the time that took.
- * Prompts that are prefilled side by side shift first events within a span, but not its length, so that the rate of
- * single prompts is not needed. Long spans determine the rate, short ones the latency that each first event has in
- * addition.
+ * Prompts that an engine prefills concurrently change the times of first events within a span, but not the length of
+ * the span, so that the rate of single prompts is not needed. Long spans determine the rate, short ones the latency
+ * that each first event has in addition.
  */
 export type PrefillSpeed = {
 	/** Base latency: milliseconds from sending to the first event of a prompt that is cached completely. */
@@ -38,13 +38,14 @@
  */
 const retainedWeight = 0.99;
 /**
- * Limits on how far a sample may lie from the prediction. Unreported work makes spans longer without bound, and nothing
- * makes them shorter, so that longer samples are limited much more closely. The first samples may differ by more, to
- * correct a wrong initial estimate; half of that is gone after ten.
+ * Limits on how far a sample may lie from the prediction. Work of which this instance has no reports can make a span
+ * longer without bound, and nothing makes a span shorter, so that longer samples are limited much more closely. The
+ * first samples may differ by more, to correct a wrong initial estimate; half of that is gone after ten.
  */
 const deviationFactors = {longer: 1.1, shorter: 1.4, initial: 1.5, halfSamples: 10};
 /**
- * Weight of a sample that took longer than predicted, lower for the same reason: half of all samples may be disturbed.
+ * Weight of a sample that took longer than predicted. It is lower than that of other samples, since unreported work may
+ * affect half of all samples.
  */
 const slowSampleWeight = 0.4;
 const deviationMilliseconds = {fromIdle: 15, continuing: 3};
--- a/src/policy/dispatch/transfer.ts
+++ b/src/policy/dispatch/transfer.ts
@@ -18,10 +18,10 @@
 /** Factor on the transfer time between availability zones. */
 const otherZoneFactor = 2;
 
-/** The engine of a zone that has most of a prompt cached. */
+/** The engine with the largest cached part of a prompt in its availability zone. */
 export type CacheHolder = {readonly id: string; readonly zone: string; readonly unavailableTokens: number; readonly running: number};
 
-/** Engines with most of a prompt cached, one for each availability zone. */
+/** The engines with the largest cached part of a prompt, one for each availability zone. */
 export function cacheHolders(tracker: LoadTracker, parts: readonly PromptPart[], candidates: readonly Candidate[], {loads, tuning}: Pick<PlacementContext, 'tuning'> & {
 	loads: readonly EndpointLoad[];
 }): readonly CacheHolder[] {
--- a/src/policy/dispatch/tuning.ts
+++ b/src/policy/dispatch/tuning.ts
@@ -20,7 +20,10 @@
 	readonly outsideMilliseconds: number;
 };
 
-/** A second of cost outweighs everything but a service at full load; sixty milliseconds outweigh a usual backlog. */
+/**
+ * `roomMilliseconds`, a second, outweighs everything but a service at full load; `outsideMilliseconds`, sixty
+ * milliseconds, outweighs a usual backlog.
+ */
 export const defaultTuning: Tuning = {
 	fetches: true,
 	fetchShare: 0.5,
--- a/src/policy/dispatch/waiting-queue.ts
+++ b/src/policy/dispatch/waiting-queue.ts
@@ -2,15 +2,16 @@
 import {groupKeyOf} from './scan-results.js';
 
 /**
- * Load pattern: demand above what the endpoints can do. In order of arrival, urgent requests would wait behind drafts,
- * one workspace's burst would hold up the other workspaces, and once the wait is longer than the target, every request
- * would be late. The queue is ordered by urgency, then requests that can still be in time before the others, then by
- * how much of the service each workspace had recently, then by arrival. Every eighth scan starts with the request that
- * has waited longest, so that none starves.
+ * Load pattern: demand above the capacity of the endpoints. In order of arrival, urgent requests would wait behind
+ * drafts (requests of low urgency), one workspace's burst would delay the other workspaces, and once the wait is longer
+ * than the target, every request would be late. The queue is ordered by urgency, then requests that can still be in
+ * time before the others, then by how much of the service each workspace had recently, then by arrival. Every eighth
+ * scan starts with the request that has waited longest, so that none starves.
  *
- * A workspace that goes first does so with all its routes. If it sends many drafts, confirmations of other workspaces
- * would get no place for as long as these drafts arrive. A request that has used half of its time is therefore at risk,
- * and goes before every less urgent route of any workspace.
+ * A workspace with precedence has it for the requests of all its routes. If it sends many drafts, confirmations
+ * (requests of high urgency) of other workspaces would not be placed for as long as these drafts arrive. A request that
+ * has used half of its time is therefore at risk, and precedes the requests of every less urgent route of any
+ * workspace.
  */
 export type QueuedRequest = {
 	readonly id: string;
@@ -26,13 +27,10 @@
 	readonly lastStartAt: number;
 };
 
-/** Share of a request's time after which it is at risk of ending without a place. */
+/** Share of a request's time after which it is at risk of not being placed. */
 const atRiskShare = 0.5;
 
-/**
- * Whether a request is at risk of ending without a place: from then on its route alone decides which others it
- * precedes.
- */
+/** Whether a request is at risk of not being placed: from then on its route alone decides which others it precedes. */
 export function isAtRisk({arrivedAt, lastStartAt}: Pick<QueuedRequest, 'arrivedAt' | 'lastStartAt'>, now: number): boolean {
 	return now - arrivedAt > (lastStartAt - arrivedAt) * atRiskShare;
 }
@@ -57,7 +55,7 @@
 	}
 
 	readonly #queued = new Map<string, QueuedRequest>();
-	/** Count and work of each group, updated as requests come and go, since every refusal asks for them. */
+	/** Count and work of each group, updated whenever a request is added or removed, since every refusal reads them. */
 	readonly #groups = new Map<string, QueueGroup>();
 	readonly #usage = new Map<string, {work: number; at: number}>();
 	readonly #placedWork = new Map<string, {work: number; at: number}>();
@@ -70,7 +68,7 @@
 	add(waiting: QueuedRequest): void {
 		this.remove(waiting.id);
 		this.#queued.set(waiting.id, waiting);
-		this.#count(waiting, 1);
+		this.#updateGroup(waiting, 1);
 	}
 
 	remove(id: string): boolean {
@@ -80,7 +78,7 @@
 		}
 
 		this.#queued.delete(id);
-		this.#count(waiting, -1);
+		this.#updateGroup(waiting, -1);
 		return true;
 	}
 
@@ -131,8 +129,7 @@
 
 	/**
 	 * Requests of a service that would be tried before one of this urgency: their number and total work. Those of a
-	 * less urgent route don't count, of whichever workspace: they step back before the request would end without a
-	 * place.
+	 * less urgent route don't count, of whichever workspace: once the request is at risk, it precedes them.
 	 */
 	ahead(service: string, urgency: UrgencyPair): {readonly count: number; readonly work: number} {
 		let count = 0;
@@ -150,7 +147,7 @@
 	/**
 	 * Adds one request to its group or removes it; an empty group is deleted, so that the sums of its work don't drift.
 	 */
-	#count(waiting: QueuedRequest, change: 1 | -1): void {
+	#updateGroup(waiting: QueuedRequest, change: 1 | -1): void {
 		const key = groupKeyOf(waiting);
 		const {service, urgency, work} = waiting;
 		const group = this.#groups.get(key) ?? {service, urgency, count: 0, work: 0};
@@ -162,13 +159,13 @@
 	}
 
 	#recentlyPlacedWork(service: string, now: number): number {
-		const held = this.#placedWork.get(service);
-		return held === undefined ? 0 : held.work * Math.exp((held.at - now) / rateWindowMilliseconds);
+		const placed = this.#placedWork.get(service);
+		return placed === undefined ? 0 : placed.work * Math.exp((placed.at - now) / rateWindowMilliseconds);
 	}
 
 	#recentUsage(workspace: string, now: number): number {
-		const held = this.#usage.get(workspace);
-		return held === undefined ? 0 : held.work * (0.5 ** ((now - held.at) / usageHalfLifeMilliseconds));
+		const usage = this.#usage.get(workspace);
+		return usage === undefined ? 0 : usage.work * (0.5 ** ((now - usage.at) / usageHalfLifeMilliseconds));
 	}
 }
 
@@ -182,8 +179,8 @@
 }
 
 /**
- * Moves requests at risk before the first one of a less urgent route, and none back; those moved keep their order
- * within their route.
+ * Moves requests at risk before the first one of a less urgent route, and none to a later position; those moved keep
+ * their order within their route.
  */
 function moveAtRiskForward(ordered: readonly QueuedRequest[], now: number): readonly QueuedRequest[] {
 	let leastUrgent = -Infinity;
--- a/src/policy/placement/estimate.ts
+++ b/src/policy/placement/estimate.ts
@@ -26,7 +26,7 @@
 	}
 
 	if (side.view.firm !== undefined) {
-		// The reported number of non-preemptible requests already includes ours; only what we sent since is missing in it.
+		// The reported number of non-preemptible requests includes those of this entry, except the ones it sent since the report.
 		return Math.max(0, side.ownRequests.size - side.ownRequestsReported) + (reported * reportWeight(side, now));
 	}
 
@@ -45,7 +45,7 @@
 	return side.ownRequests.size > 0 || age <= staleReportMilliseconds ? 1 : Math.max(0, 2 - (age / staleReportMilliseconds));
 }
 
-/** Slots left for a new request of this tier; a negative number is the length of the queue before it. */
+/** Slots left for a new request of this tier; if negative, its absolute value is the length of the queue before that request. */
 export function freeSlots(side: SideRecord, tier: number, now: number): number {
 	return side.view.slots - requestsAhead(side, tier, now);
 }
--- a/src/policy/placement/fleet.ts
+++ b/src/policy/placement/fleet.ts
@@ -68,7 +68,7 @@
 	}
 }
 
-/** A report that arrives now was made at least one one-way trip ago: half a round trip between availability zones, plus a margin. */
+/** A report is at least one network transit old when it arrives: half a round trip between availability zones, plus a margin. */
 const reportLagMilliseconds = 2;
 
 function countReported(ownRequests: ReadonlyMap<RequestId, OwnRequest>, now: number): number {
--- a/src/policy/placement/prefixes.ts
+++ b/src/policy/placement/prefixes.ts
@@ -12,7 +12,7 @@
 /** A prefix that was not used for this long has probably been evicted from the engine's cache. */
 export const prefixLifetimeMilliseconds = 60_000;
 
-/** When this entry last sent a prefix to each endpoint, least recently used first; that one is evicted first. */
+/** When this entry last sent a prefix to each endpoint, least recently used first, which is the order of eviction. */
 export type PrefixMemory = ReadonlyMap<EndpointId, ReadonlyMap<string, number>>;
 
 export function rememberPrefix(memory: PrefixMemory, endpoint: EndpointId, prefix: string, now: number): PrefixMemory {
--- a/src/policy/placement/subset.ts
+++ b/src/policy/placement/subset.ts
@@ -1,10 +1,10 @@
 /**
  * The placement policy that entries use.
  *
- * It is made for bursts that reach several entries at once, each with an outdated view of the sides. Entries
- * that all follow the same stale report would crowd one side (least load); random and round robin ignore
- * load altogether. Here each entry ranks a subset of the target's live sides by an estimate of the wait and
- * reserves at the best two; the side that frees a slot first gets the body.
+ * It is made for bursts that reach several entries at once, each with an outdated view of the sides. With
+ * least load, all entries would follow the same outdated report and overload one side; random and round robin
+ * ignore load altogether. Here each entry ranks a subset of the target's live sides by an estimate of the
+ * wait and reserves at the best two; the side that frees a slot first gets the body.
  *
  * All terms of the cost are in milliseconds, so that they can be added: the wait for a slot, the slowness of
  * the endpoint, the distance, and the prefill that a cached prefix saves.
@@ -23,7 +23,10 @@
 	readonly subsetSize: number;
 	/** How many of these are reserved for sides of other availability zones. */
 	readonly otherZoneSides: number;
-	/** Number of sides at which to reserve while none certainly has a free slot; 1 is early binding. */
+	/**
+	 * Number of sides at which to reserve while none certainly has a free slot; with 1, a request is bound to
+	 * one queue before it is known which slot frees first (early binding).
+	 */
 	readonly reservations: number;
 	/** The same for the highest tier, whose target leaves no time to wait behind other requests of the tier. */
 	readonly highestTierReservations: number;
@@ -38,9 +41,9 @@
 };
 
 /**
- * 16 sides per target cover every endpoint of current fleets. At 600 sides and 19 models they are half
- * of the 32 that serve a model, enough for any entry to find a free one, and each side then gets messages
- * from half of the entries. Two reservations: the first additional choice brings most of the gain, and each
+ * 16 sides per target cover every endpoint of current fleets. At 600 sides and 19 models, 32 sides serve each
+ * model; half of these are enough for any entry to find a free one, and each side then gets messages from
+ * half of the entries. Two reservations: the first additional choice brings most of the gain, and each
  * further one costs two frames. A hop between availability zones takes about a millisecond one way.
  */
 export const subsetSettings: SubsetSettings = {
--- a/src/policy/placement/types.ts
+++ b/src/policy/placement/types.ts
@@ -18,7 +18,7 @@
 export type PlacementEvent
 	= | {readonly type: 'side-seen'; readonly side: SideView}
 		| {readonly type: 'side-lost'; readonly endpoint: EndpointId}
-	/** This entry reserved, started or ended something there, or received an offer or a refusal; `prefix` comes with `started`. */
+	/** This entry reserved a slot, started a request or withdrew one there, or received an offer or a refusal; `prefix` comes with `started`. */
 		| {readonly type: 'reserved' | 'offered' | 'refused' | 'withdrawn' | 'started'; readonly endpoint: EndpointId; readonly request: RequestId; readonly prefix?: string}
 		| {readonly type: 'first-token'; readonly endpoint: EndpointId; readonly request: RequestId; readonly milliseconds: number}
 		| {readonly type: 'progressed'; readonly endpoint: EndpointId; readonly request: RequestId; readonly tokens: number; readonly milliseconds: number}
--- a/src/policy/scheduler/departure-rates.ts
+++ b/src/policy/scheduler/departure-rates.ts
@@ -63,8 +63,8 @@
 /**
  * Lists waiting requests of a tier that are past their first-token deadline and, at the current departure
  * rate, would still be waiting at their queue timeout. They are refused now, so that their callers can try
- * elsewhere, and not only when the timeout has passed. A wrong estimate costs a caller its turn, so the
- * estimated wait must exceed the remaining time by half.
+ * elsewhere, and not only when the timeout has passed. A wrong estimate refuses a request that could still
+ * have been served, so the estimated wait must exceed the remaining time by half.
  */
 export function findHopeless(departureRates: DepartureRates, reservations: Reservations, tier: Tier, now: number): readonly WaitingReservation[] {
 	const waiting = waitingInTier(reservations, tier);
@@ -91,9 +91,10 @@
 
 /**
  * Average time between two departures while requests wait; 0 if it can't be relied on for as long as the
- * request may wait. Otherwise a burst of two seconds makes the lowest tier's queue look as if it could not
- * be served, so that requests for charts, which may wait for minutes, are refused although they could be served
- * after the burst. Overload that has lasted for half of the class's queue timeout is assumed to last for the rest.
+ * request may wait. Otherwise a burst of two seconds makes the lowest tier's queue look as if it could not be
+ * served, so that requests that may wait for minutes, such as those for charts, are refused although they
+ * could be served after the burst. Overload that has lasted for half of the class's queue timeout is assumed
+ * to last for the rest.
  */
 function departureIntervalMilliseconds({departures, busyMilliseconds, busySince}: DepartureRates, {tier, queueMilliseconds}: RequestSummary, now: number): number {
 	const overloadMilliseconds = now - (busySince[tier] ?? now);
--- a/src/policy/scheduler/fairness.ts
+++ b/src/policy/scheduler/fairness.ts
@@ -6,9 +6,9 @@
  * Weighted fair queuing between the workspaces of a tier: each workspace has a virtual counter of tokens
  * served, divided by its weight, and the one with the lowest counter is served next.
  *
- * This guards against a workspace that floods its tier, sends long outputs or opens many connections.
- * Without it, such a workspace gets service in proportion to what it sends. Tokens are counted
- * instead of requests, since one stitch file costs as much as a hundred confirmations.
+ * This guards against a workspace that floods its tier, sends long outputs or opens many connections. Without
+ * it, such a workspace gets service in proportion to what it sends. Tokens are counted instead of requests,
+ * since one long output such as a stitch file costs as much as a hundred confirmations.
  *
  * The cost of a request counts from the moment it gets its slot, with its expected length, so that one
  * workspace does not take every slot that comes free before its first tokens are produced.
@@ -45,8 +45,9 @@
 
 /**
  * Raises the counter of a returning workspace, one without waiting requests, to the tier's virtual time.
- * Without this, a workspace that was idle all morning keeps a credit that lets it take every slot, and the
- * other workspaces wait until the credit is spent. Only a backlog earns service; idle time does not.
+ * Without this, a workspace that was idle for hours keeps a credit that lets it take every slot, and the
+ * other workspaces wait until the credit is spent. A workspace gets a claim to service only while its
+ * requests wait, not while it is idle.
  */
 export function raiseToVirtualTime(fairness: Fairness, reservations: Reservations, summary: RequestSummary, settings: SchedulerSettings): Fairness {
 	const {tier, workspace} = summary;
--- a/src/policy/scheduler/floor.ts
+++ b/src/policy/scheduler/floor.ts
@@ -3,15 +3,17 @@
 import {type Context, type SchedulerSettings} from './settings.js';
 
 /**
- * The floor: the guaranteed minimum share of slot time of each lower tier, however much waits in higher tiers.
+ * The floor: the guaranteed minimum share of slot time of each lower tier, however much waits in higher
+ * tiers.
  *
- * It guards against higher tiers that fill every slot for hours: without it the lowest tier starves.
- * The share is one of slot time, not of turns: a response of the lowest tier may take a hundred times
- * as long as a confirmation, and one turn in twenty would then be most of the time.
+ * It guards against higher tiers that fill every slot for hours: without it the lowest tier starves. The
+ * share is one of slot time, not of the number of requests: a response of the lowest tier may take a hundred
+ * times as long as a confirmation, and one request in twenty would then take most of the time.
  *
  * A tier's credit grows with time up to zero and falls while requests run in its floor share. At zero the
  * tier may take one slot ahead of higher tiers. Over any period the floor therefore costs the higher tiers at
- * most the share plus one request. 5% is what the top tier can give up while it still meets its target for 95% of requests.
+ * most the share plus one request. 5% is what the top tier can give up while it still meets its target for
+ * 95% of requests.
  */
 export type FloorState = {
 	/** Slot-milliseconds by which a tier's floor requests have exceeded its share, as a negative number; never above 0. */
@@ -54,7 +56,7 @@
 	return share === 0 ? Number.POSITIVE_INFINITY : (ahead + 1) * longestMilliseconds * ((1 / Math.min(share, 1)) + 2);
 }
 
-/** Which wait `floorWaitBound` is asked for. */
+/** The position in a tier's queue, and the conditions, for which `floorWaitBound` is computed. */
 export type FloorWait = {readonly tier: Tier; readonly ahead: number; readonly slots: number; readonly longestMilliseconds: number};
 
 /** A tier that holds its share of slots anyway, for example from before the burst, does not starve. */
--- a/src/policy/scheduler/headroom.ts
+++ b/src/policy/scheduler/headroom.ts
@@ -27,20 +27,20 @@
 
 /** Counts a request that started. */
 export function countStart(headroom: Headroom, {className, tier}: RequestSummary, now: number): Headroom {
-	const use = headroom.get(className) ?? {tier, starts: 0, updatedAt: now, slotMilliseconds: 0};
-	return new Map(headroom).set(className, {...use, tier, starts: decayedStarts(use, now) + 1, updatedAt: now});
+	const usage = headroom.get(className) ?? {tier, starts: 0, updatedAt: now, slotMilliseconds: 0};
+	return new Map(headroom).set(className, {...usage, tier, starts: decayedStarts(usage, now) + 1, updatedAt: now});
 }
 
 /** Adds the time for which a completed request held its slot to the average of its class. */
 export function observeSlotTime(headroom: Headroom, {summary, offeredAt}: SlotHolder, now: number): Headroom {
-	const use = headroom.get(summary.className);
-	if (use === undefined) {
+	const usage = headroom.get(summary.className);
+	if (usage === undefined) {
 		return headroom;
 	}
 
 	const held = now - offeredAt;
-	const slotMilliseconds = use.slotMilliseconds === 0 ? held : use.slotMilliseconds + ((held - use.slotMilliseconds) * smoothingFactor);
-	return new Map(headroom).set(summary.className, {...use, slotMilliseconds});
+	const slotMilliseconds = usage.slotMilliseconds === 0 ? held : usage.slotMilliseconds + ((held - usage.slotMilliseconds) * smoothingFactor);
+	return new Map(headroom).set(summary.className, {...usage, slotMilliseconds});
 }
 
 /** Average time that a request of this class holds a slot, or undefined while none has completed. */
@@ -53,10 +53,10 @@
 export function slotsToKeepFree(headroom: Headroom, reservations: Reservations, summary: RequestSummary, now: number): (slots: number) => number {
 	const ownSlotTime = observedSlotTime(headroom, reservations, summary.className, now);
 	let needed = 0;
-	for (const [className, use] of headroom) {
-		const isShorter = use.slotMilliseconds > 0 && use.slotMilliseconds * longerClassFactor < ownSlotTime;
-		if (className !== summary.className && use.tier <= summary.tier && isShorter) {
-			needed += Math.max(0, slotsNeeded(use, now) - slotsHeldBy(reservations, className));
+	for (const [className, usage] of headroom) {
+		const isShorter = usage.slotMilliseconds > 0 && usage.slotMilliseconds * longerClassFactor < ownSlotTime;
+		if (className !== summary.className && usage.tier <= summary.tier && isShorter) {
+			needed += Math.max(0, slotsNeeded(usage, now) - slotsHeldBy(reservations, className));
 		}
 	}
 
@@ -67,12 +67,12 @@
 const decayMilliseconds = 2000;
 /** Classes whose slot times differ by no more than this factor don't block each other for long. */
 export const longerClassFactor = 4;
-/** Starts are irregular: the average need is too low half of the time. */
+/** Factor on the average need: starts are irregular, so that the average is too low half of the time. */
 const burstFactor = 1.5;
 const minimumSlotsNeeded = 0.5;
 
-function slotsNeeded(use: ClassUsage, now: number): number {
-	const needed = burstFactor * use.slotMilliseconds * decayedStarts(use, now) / decayMilliseconds;
+function slotsNeeded(usage: ClassUsage, now: number): number {
+	const needed = burstFactor * usage.slotMilliseconds * decayedStarts(usage, now) / decayMilliseconds;
 	return needed < minimumSlotsNeeded ? 0 : needed;
 }
 
--- a/src/policy/scheduler/order.ts
+++ b/src/policy/scheduler/order.ts
@@ -20,11 +20,11 @@
 	let best: WaitingReservation | undefined;
 	let bestRank: readonly number[] = [];
 	for (const candidate of waiting) {
-		const inTime = isResuming(candidate) || latestStart(candidate) >= now;
+		const isInTime = isResuming(candidate) || latestStart(candidate) >= now;
 		const rank = [
-			(counters.get(candidate.summary.workspace) ?? 0) + (penaltyCount(candidate, inTime) * settings.latePenaltyTokens / candidate.summary.weight),
+			(counters.get(candidate.summary.workspace) ?? 0) + (penaltyCount(candidate, isInTime) * settings.latePenaltyTokens / candidate.summary.weight),
 			isResuming(candidate) ? 0 : 1,
-			inTime ? candidate.dueAt : candidate.sequence,
+			isInTime ? candidate.dueAt : candidate.sequence,
 			candidate.sequence,
 		];
 		if (best === undefined || isLexicographicallyLess(rank, bestRank)) {
@@ -57,12 +57,12 @@
 }
 
 /** How many penalties are added to the workspace's counter for this request; a bonus is negative. */
-function penaltyCount(waiting: WaitingReservation, inTime: boolean): number {
+function penaltyCount(waiting: WaitingReservation, isInTime: boolean): number {
 	if (isResuming(waiting)) {
 		return -1;
 	}
 
-	return inTime ? 0 : 1;
+	return isInTime ? 0 : 1;
 }
 
 function isLexicographicallyLess(left: readonly number[], right: readonly number[]): boolean {
--- a/src/policy/scheduler/settings.ts
+++ b/src/policy/scheduler/settings.ts
@@ -7,7 +7,7 @@
 export type SchedulerSettings = {
 	/** Number of slots before anything has been measured. */
 	readonly initialSlots: number;
-	/** At least one slot always stays, so that the recovery of a slow endpoint is noticed. */
+	/** Lower limit of the number of slots; at least one slot is kept, so that the recovery of a slow endpoint is noticed. */
 	readonly minimumSlots: number;
 	readonly maximumSlots: number;
 	/** Queue capacity that all tiers share; when it is exhausted, requests of lower tiers are evicted for higher ones. */
--- a/src/policy/scheduler/slots.ts
+++ b/src/policy/scheduler/slots.ts
@@ -95,7 +95,7 @@
 	}
 
 	if (stalled > 0) {
-		// The endpoint holds them in its own queue, which has neither workspaces nor deadlines.
+		// The endpoint holds the stalled requests in its own queue, which has neither workspaces nor deadlines.
 		return inUse - stalled;
 	}
 
@@ -108,7 +108,7 @@
 		return inUse * settings.shrinkFactor;
 	}
 
-	// While the requests in the slots added last produce no tokens, those slots have no effect on the measured time yet.
+	// While the requests in the most recently added slots produce no tokens, those slots have no effect on the measured time yet.
 	const areSlotsProducing = producing >= settings.minimumProducingShare * limit;
 	return wasFull && areSlotsProducing && memoryUsed < settings.memoryHigh ? limit + slotGrowth(limit, ratio, settings) : limit;
 }
--- a/src/policy/scheduler/tiered-decisions.ts
+++ b/src/policy/scheduler/tiered-decisions.ts
@@ -103,21 +103,21 @@
 	const rate = freeingRate(state, now);
 	const withoutVictim = new Set<string>();
 	let step = withoutActions(state);
-	// Slots that are already being freed will serve that many requests from the head of the queue.
-	let covered = countStopping(state.reservations);
+	// Each slot that a preemption already frees will serve one request from the head of the queue.
+	let coveredCount = countStopping(state.reservations);
 	for (const [index, waiting] of preemptionCandidates(state).entries()) {
-		const wait = waiting.summary.asksFirst === false ? 0 : Math.max(0, index + 1 - covered) / rate;
+		const wait = waiting.summary.asksFirst === false ? 0 : Math.max(0, index + 1 - coveredCount) / rate;
 		const startsAt = now + preemptionMilliseconds + wait;
 		const group = `${waiting.summary.tier} ${waiting.summary.workspace}`;
-		if (index < covered || startsAt <= latestStart(state, waiting) || withoutVictim.has(group)) {
+		if (index < coveredCount || startsAt <= latestStart(state, waiting) || withoutVictim.has(group)) {
 			continue;
 		}
 
 		const before = step.actions.length;
 		step = andThen(step, next => preemptFor(next, waiting, context));
-		covered += step.actions.length - before;
+		coveredCount += step.actions.length - before;
 		if (step.actions.length === before) {
-			// Then there is none for other requests of its workspace and tier either; queues are long when this happens.
+			// Other requests of its workspace and tier have no victim either; skipping them saves time, since queues are long when this happens.
 			withoutVictim.add(group);
 		}
 	}
@@ -165,14 +165,14 @@
 
 /** Waiting requests roughly in the order in which they will be served, at most as many as there are slot holders to preempt. */
 function preemptionCandidates({reservations}: TieredState): readonly WaitingReservation[] {
-	const first: WaitingReservation[] = [];
+	const candidates: WaitingReservation[] = [];
 	for (const tier of tiers) {
-		if (first.length < reservations.holders.size) {
-			first.push(...waitingInTier(reservations, tier).toSorted((one, other) => one.dueAt - other.dueAt));
+		if (candidates.length < reservations.holders.size) {
+			candidates.push(...waitingInTier(reservations, tier).toSorted((one, other) => one.dueAt - other.dueAt));
 		}
 	}
 
-	return first.slice(0, reservations.holders.size);
+	return candidates.slice(0, reservations.holders.size);
 }
 
 function preemptFor(state: TieredState, waiting: WaitingReservation, {now, settings}: Context): Step {
--- a/src/policy/scheduler/tiered-events.ts
+++ b/src/policy/scheduler/tiered-events.ts
@@ -110,7 +110,7 @@
 function start(state: TieredState, id: string, now: number): Step {
 	const offered = state.reservations.holders.get(id);
 	if (offered === undefined) {
-		// The body crossed with a refusal or an expired offer; running it would contradict the refusal, which said "not run".
+		// The body arrived after its reservation was refused or its offer had expired; running it would contradict the refusal, which said "not run".
 		return {state, actions: [refuse(id, RefusalReason.unknown, 0)]};
 	}
 
--- a/src/policy/scheduler/types.ts
+++ b/src/policy/scheduler/types.ts
@@ -34,7 +34,7 @@
 
 export type SchedulerStep<State> = {readonly state: State; readonly actions: readonly SchedulerAction[]};
 
-/** What placement and `status` are told about a queue. */
+/** State of a queue as it is reported to placement and to `status`. */
 export type SchedulerView = {
 	readonly slots: number;
 	readonly running: number;
