--- a/src/policy/dispatch/engine-cost.ts
+++ b/src/policy/dispatch/engine-cost.ts
@@ -52,7 +52,9 @@
 const unreportedPrefillProbability = 0.5;
 /** Cost of each position in the fill order to a latency-critical stream; less than the advantage of an idle engine. */
 const fillPositionMilliseconds = 6;
-/** An engine with this share of its slots in use gets no more latency-critical streams while others have room. */
+/**
+ * An engine with this share of its slots in use gets no more latency-critical streams while others have less in use.
+ */
 const crowdedSlotShare = 0.75;
 /**
  * Cost of a millisecond of prefill for each latency-critical stream beside it, counted for at most this many streams.
--- a/src/policy/scheduler/departure-rates.ts
+++ b/src/policy/scheduler/departure-rates.ts
@@ -92,9 +92,9 @@
 /**
  * Average time between two departures while requests wait; 0 if it can't be relied on for as long as the
  * request may wait. Otherwise a burst of two seconds makes the lowest tier's queue look as if it could not be
- * served, so that requests that may wait for minutes, such as those for charts, are refused although they
- * could be served after the burst. Overload that has lasted for half of the class's queue timeout is assumed
- * to last for the rest.
+ * served, so that requests for long jobs, which may wait for minutes, are refused although they could be
+ * served after the burst. Overload that has lasted for half of the class's queue timeout is assumed to last
+ * for the rest.
  */
 function departureIntervalMilliseconds({departures, busyMilliseconds, busySince}: DepartureRates, {tier, queueMilliseconds}: RequestSummary, now: number): number {
 	const overloadMilliseconds = now - (busySince[tier] ?? now);
--- a/src/policy/scheduler/fairness.ts
+++ b/src/policy/scheduler/fairness.ts
@@ -8,7 +8,7 @@
  *
  * This guards against a workspace that floods its tier, sends long outputs or opens many connections. Without
  * it, such a workspace gets service in proportion to what it sends. Tokens are counted instead of requests,
- * since one long output such as a stitch file costs as much as a hundred confirmations.
+ * since one long output costs as much as a hundred confirmations.
  *
  * The cost of a request counts from the moment it gets its slot, with its expected length, so that one
  * workspace does not take every slot that comes free before its first tokens are produced.
--- a/src/policy/scheduler/headroom.ts
+++ b/src/policy/scheduler/headroom.ts
@@ -38,15 +38,15 @@
 		return headroom;
 	}
 
-	const held = now - offeredAt;
-	const slotMilliseconds = usage.slotMilliseconds === 0 ? held : usage.slotMilliseconds + ((held - usage.slotMilliseconds) * smoothingFactor);
+	const heldMilliseconds = now - offeredAt;
+	const slotMilliseconds = usage.slotMilliseconds === 0 ? heldMilliseconds : usage.slotMilliseconds + ((heldMilliseconds - usage.slotMilliseconds) * smoothingFactor);
 	return new Map(headroom).set(summary.className, {...usage, slotMilliseconds});
 }
 
 /** Average time that a request of this class holds a slot, or undefined while none has completed. */
 export function averageSlotTime(headroom: Headroom, {className}: RequestSummary): number | undefined {
-	const held = headroom.get(className)?.slotMilliseconds ?? 0;
-	return held === 0 ? undefined : held;
+	const average = headroom.get(className)?.slotMilliseconds ?? 0;
+	return average === 0 ? undefined : average;
 }
 
 /** Returns a function from the number of slots to how many of them must stay free when a request of this class starts. */
--- a/src/policy/scheduler/slots.ts
+++ b/src/policy/scheduler/slots.ts
@@ -45,13 +45,13 @@
 		return slots;
 	}
 
-	const each = milliseconds / tokens;
+	const millisecondsPerToken = milliseconds / tokens;
 	const weight = Math.min(1, tokens * smoothingFactor);
 	return {
 		...slots,
 		windowMilliseconds: slots.windowMilliseconds + milliseconds,
 		windowTokens: slots.windowTokens + tokens,
-		tokenMilliseconds: slots.tokenMilliseconds === 0 ? each : slots.tokenMilliseconds + ((each - slots.tokenMilliseconds) * weight),
+		tokenMilliseconds: slots.tokenMilliseconds === 0 ? millisecondsPerToken : slots.tokenMilliseconds + ((millisecondsPerToken - slots.tokenMilliseconds) * weight),
 	};
 }
 
--- a/src/policy/scheduler/tiered-decisions.ts
+++ b/src/policy/scheduler/tiered-decisions.ts
@@ -101,7 +101,7 @@
 	}
 
 	const rate = freeingRate(state, now);
-	const withoutVictim = new Set<string>();
+	const groupsWithoutVictim = new Set<string>();
 	let step = withoutActions(state);
 	// Each slot that a preemption already frees will serve one request from the head of the queue.
 	let coveredCount = countStopping(state.reservations);
@@ -109,7 +109,7 @@
 		const wait = waiting.summary.asksFirst === false ? 0 : Math.max(0, index + 1 - coveredCount) / rate;
 		const startsAt = now + preemptionMilliseconds + wait;
 		const group = `${waiting.summary.tier} ${waiting.summary.workspace}`;
-		if (index < coveredCount || startsAt <= latestStart(state, waiting) || withoutVictim.has(group)) {
+		if (index < coveredCount || startsAt <= latestStart(state, waiting) || groupsWithoutVictim.has(group)) {
 			continue;
 		}
 
@@ -118,7 +118,7 @@
 		coveredCount += step.actions.length - before;
 		if (step.actions.length === before) {
 			// Other requests of its workspace and tier have no victim either; skipping them saves time, since queues are long when this happens.
-			withoutVictim.add(group);
+			groupsWithoutVictim.add(group);
 		}
 	}
 
