--- a/test/path/at-most-once.test.ts
+++ b/test/path/at-most-once.test.ts
@@ -24,8 +24,8 @@
 	});
 }
 
-/** A caller that does as it is told: what was not run, say because its slot lapsed on a busy machine, it sends again. */
-async function callUntilRun(fleet: LocalFleet, entry: number, idempotencyKey: string): Promise<CallResult> {
+/** Sends a call again until it has run: on a busy machine a reserved slot can expire, and the call is then refused as not run. */
+async function retryUntilRun(fleet: LocalFleet, entry: number, idempotencyKey: string): Promise<CallResult> {
 	let result = await call(fleet, entry, idempotencyKey);
 	for (let tries = 0; result.verdict === 'not-run' && tries < 50; tries++) {
 		result = await call(fleet, entry, idempotencyKey);
@@ -34,7 +34,7 @@
 	return result;
 }
 
-/** How often the stand-in engines took a ticket in: the truth, whatever the router says. */
+/** How often the stand-in engines accepted a ticket. Independent of what the router reports. */
 function runs(fleet: LocalFleet, idempotencyKey: string): number {
 	let total = 0;
 	for (const {engine} of fleet.endpoints) {
@@ -46,23 +46,23 @@
 	return total;
 }
 
-// A guest's tablet sends the same ticket to two entries at the same instant, twenty times over. Each
-// ticket is printed once: one call gets the answer, the other is told that the key is in use.
+// A client sends each of twenty tickets to two entries at the same instant. Each ticket runs once: one
+// call gets the response, the other is refused because the key is in use.
 tap.test('the same key at two entries at the same instant runs once', async t => {
 	await using fleet = await createFleet();
 	const keys = Array.from({length: 20}, () => uuidv7());
-	const results = await Promise.all(keys.map(async key => Promise.all([callUntilRun(fleet, 0, key), callUntilRun(fleet, 1, key)])));
+	const results = await Promise.all(keys.map(async key => Promise.all([retryUntilRun(fleet, 0, key), retryUntilRun(fleet, 1, key)])));
 	t.same(keys.map(key => runs(fleet, key)), keys.map(() => 1));
 	const seen = keys.map(key => fleet.endpoints.filter(({engine}) => engine.runsByKey.get(key) === 1).length);
-	t.same(seen, keys.map(() => 1), 'the engine is told the key, so that it can refuse a second run itself');
+	t.same(seen, keys.map(() => 1), 'the engine receives the key, so that it can refuse a second run itself');
 	t.ok(results.every(pair => pair.filter(({outcome}) => outcome === 'whole').length === 1));
 	const refused = results.flat().filter(({outcome}) => outcome !== 'whole').map(({code, verdict}) => `${code} ${verdict}`);
 	t.same(new Set(refused), new Set(['idempotency_key_in_use may-have-run']));
 });
 
-// The caller sends a key again after its answer: the entry that ran it gives the same answer again,
-// another entry says that it may have run, and neither runs it.
-tap.test('a key that is sent again gets its answer, or may have run, and never a second run', async t => {
+// The caller sends a key again after its response: the entry that ran it returns the stored response,
+// another entry refuses with may-have-run, and neither runs it.
+tap.test('a repeated key gets the stored response or may-have-run, never a second run', async t => {
 	await using fleet = await createFleet();
 	const key = uuidv7();
 	const first = await call(fleet, 0, key);
@@ -74,17 +74,17 @@
 	t.equal(runs(fleet, key), 1);
 });
 
-// The caller leaves while its ticket runs, and asks again. The ticket runs to its end once, and the
-// second call gets the whole answer, or hears that it may have run if it asks before the end.
-tap.test('a caller that leaves while its key runs gets the answer when it asks again', async t => {
+// The caller disconnects while its ticket runs, and sends the key again. The ticket runs to completion
+// once; the second call gets the complete response, or may-have-run if it is sent before the end.
+tap.test('a caller that disconnects while its key runs gets the response when it sends the key again', async t => {
 	await using fleet = await createFleet();
 	const key = uuidv7();
 	const abort = new AbortController();
-	const left = call(fleet, 0, key, {signal: abort.signal});
+	const disconnected = call(fleet, 0, key, {signal: abort.signal});
 	await until(() => runs(fleet, key) === 1);
 	abort.abort();
-	const leftResult = await left;
-	t.not(leftResult.outcome, 'whole');
+	const disconnectedResult = await disconnected;
+	t.not(disconnectedResult.outcome, 'whole');
 	let result = await call(fleet, 0, key);
 	for (let tries = 0; result.outcome !== 'whole' && tries < 100; tries++) {
 		t.equal(result.verdict, 'may-have-run');
@@ -95,9 +95,9 @@
 	t.equal(runs(fleet, key), 1);
 });
 
-// The log is down: a keyed ticket is refused at once as not run, and no engine has seen it. Once the log
-// is back the same key runs.
-tap.test('with the log down a keyed request is refused as not run, and runs once it is back', async t => {
+// The log is unavailable: a keyed ticket is refused immediately as not run, and no engine receives it.
+// Once the log is available again, the same key runs.
+tap.test('a keyed request is refused as not run while the log is down, and runs once the log is back', async t => {
 	await using fleet = await createFleet(1);
 	const key = uuidv7();
 	await fleet.log.stop();
@@ -109,9 +109,10 @@
 	t.equal(runs(fleet, key), 1);
 });
 
-// The engine dies while it runs a ticket. The ticket may have been printed, so it is not tried elsewhere,
-// the caller is told so, and the key stays taken. An answer that the log lost does not change that.
-tap.test('a key whose engine died may have run and is never run again', async t => {
+// The engine crashes while it runs a ticket. The ticket may have taken effect, so it is not retried on
+// another endpoint, the caller gets may-have-run, and the key stays claimed. A lost response of the log
+// does not change that.
+tap.test('a key whose engine crashed may have run and is never run again', async t => {
 	await using fleet = await createFleet();
 	const key = uuidv7();
 	fleet.log.faults.loseAnswers = 1;
@@ -125,9 +126,9 @@
 	t.equal(runs(fleet, key), 1);
 });
 
-// No endpoint can be reached. The caller is told "not run" only after the claim was released, so the same
-// key runs when an endpoint is there, at another entry too.
-tap.test('a key that found no slot is free again', async t => {
+// No endpoint can be reached. The caller gets "not run" only after the claim was released, so the same
+// key runs once an endpoint is available, at another entry too.
+tap.test('a key that got no slot is released', async t => {
 	await using fleet = await createFleet(1);
 	const key = uuidv7();
 	await fleet.endpoints[0]!.engine.crash();
@@ -135,8 +136,8 @@
 	t.match(await call(fleet, 0, key), {outcome: 'failed', verdict: 'not-run'});
 	await fleet.endpoints[0]!.engine.start();
 	await until(() => fleet.endpoints[0]!.side.phase === 'serving');
-	const free = await call(fleet, 1, key);
-	t.equal(free.outcome, 'whole');
+	const afterRelease = await call(fleet, 1, key);
+	t.equal(afterRelease.outcome, 'whole');
 	t.equal(runs(fleet, key), 1);
 });
 
--- a/test/path/back-pressure.test.ts
+++ b/test/path/back-pressure.test.ts
@@ -26,21 +26,21 @@
 	return response;
 }
 
-const ask = (prompt: string) => JSON.stringify({model, stream: true, messages: [{role: 'user', content: prompt}]});
+const bodyOf = (prompt: string) => JSON.stringify({model, stream: true, messages: [{role: 'user', content: prompt}]});
 
-// One caller asks for a very long answer and reads nothing. Once the buffers of its own connection
-// and one credit window are full, its stream stands still. Another caller of the same engine is
-// served meanwhile. When the first reads again, it gets every token of its answer.
-tap.test('a slow caller holds back its own stream alone, in bounded memory', async t => {
+// One caller requests a very long response and reads nothing. Once the buffers of its connection
+// and one credit window are full, its stream stops. Another caller of the same engine is served
+// meanwhile. When the first caller reads again, it gets every token of its response.
+tap.test('a slow caller stalls only its own stream, in bounded memory', async t => {
 	await using fleet = await createFleet({stepMilliseconds: 0.02, stepMillisecondsPerRequest: 0, memoryTokens: 1_000_000});
 	const {side} = fleet.endpoints[0]!;
 	const total = 100_000;
-	const body = ask(`A long chart [[tokens=${total}]]`);
+	const body = bodyOf(`A long chart [[tokens=${total}]]`);
 	const slow = await open(fleet, body);
 	slow.pause();
-	await standstill(() => side.counts.tokens);
+	await untilStalled(() => side.counts.tokens);
 	const passed = side.counts.tokens;
-	t.ok(passed < total, `stood still after ${passed} tokens`);
+	t.ok(passed < total, `stalled after ${passed} tokens`);
 	const other = await callModel({address: fleet.entries[0]!.entry.address, key, model, prompt: 'A short one [[tokens=50]]'});
 	t.equal(other.outcome, 'whole');
 	t.equal(side.counts.tokens, passed + 50, 'the slow stream has not moved');
@@ -55,12 +55,12 @@
 	t.ok(text.endsWith('data: [DONE]\n\n'));
 });
 
-// The caller reads its first token and goes away. The entry tells the side, the side cuts the
-// connection to the engine, and the engine frees the request within a step or two.
-tap.test('a caller that leaves cancels its idempotent request at the engine', async t => {
+// The caller reads its first token and disconnects. The entry cancels the request at the side, the side
+// closes the connection to the engine, and the engine drops the request within a step or two.
+tap.test('a caller that disconnects cancels its idempotent request at the engine', async t => {
 	await using fleet = await createFleet({stepMilliseconds: 250});
 	const {engine, side} = fleet.endpoints[0]!;
-	const response = await open(fleet, ask('Nobody waits for this [[tokens=1000]]'));
+	const response = await open(fleet, bodyOf('A cancelled one [[tokens=1000]]'));
 	await once(response, 'data');
 	const before = engine.tokensProduced;
 	response.destroy();
@@ -70,8 +70,8 @@
 	t.equal(fleet.entries[0]!.entry.activeRequests, 0);
 });
 
-/** Waits until a figure has stood still for half a second. */
-async function standstill(read: () => number): Promise<void> {
+/** Waits until a value above 0 has not changed for half a second. */
+async function untilStalled(read: () => number): Promise<void> {
 	let last = -1;
 	let since = performance.now();
 	await until(() => {
--- a/test/path/bad-input.test.ts
+++ b/test/path/bad-input.test.ts
@@ -43,10 +43,10 @@
 	return {status: response.statusCode ?? 0, code: error?.code, verdict: error?.verdict};
 }
 
-/** Runs a stream that has to stay whole whatever the others do meanwhile. */
-async function undisturbed(during: () => Promise<void>): Promise<string> {
-	const running = callModel({address: entry.address, key, model, prompt: 'Nobody disturbs this [[tokens=150]]'});
-	await during();
+/** Runs a stream action the action and returns its outcome, which the action must not affect. */
+async function outcomeOfStreamDuring(action: () => Promise<void>): Promise<string> {
+	const running = callModel({address: entry.address, key, model, prompt: 'A concurrent stream [[tokens=150]]'});
+	await action();
 	const result = await running;
 	return result.outcome;
 }
@@ -66,8 +66,8 @@
 	['a service path that names a host', {path: '/services/kitchen//127.0.0.1/x'}, 400, 'bad_request'],
 ];
 
-tap.test('each bad request gets its own clear refusal, and nobody else notices', async t => {
-	const outcome = await undisturbed(async () => {
+tap.test('each bad request gets its specific refusal, and a concurrent stream is not affected', async t => {
+	const outcome = await outcomeOfStreamDuring(async () => {
 		for (const [name, sent, status, code] of refusals) {
 			const answer = await send(sent);
 			t.match(answer, {status, code}, name);
@@ -78,10 +78,10 @@
 	t.match(await send({}), {status: 200});
 });
 
-tap.test('fuzz: no body makes the entry answer with anything but 200 or 400, and it lives on', async t => {
-	const nearly = fc.record({model: fc.constant(model), messages: fc.anything()}).map(value => Buffer.from(asJson(value)));
-	const bodies = fc.oneof(fc.uint8Array({maxLength: 100}), fc.json().map(text => Buffer.from(text)), nearly);
-	const outcome = await undisturbed(async () => {
+tap.test('fuzz: the entry answers any body with 200, 400 or 404 and keeps serving', async t => {
+	const almostValid = fc.record({model: fc.constant(model), messages: fc.anything()}).map(value => Buffer.from(asJson(value)));
+	const bodies = fc.oneof(fc.uint8Array({maxLength: 100}), fc.json().map(text => Buffer.from(text)), almostValid);
+	const outcome = await outcomeOfStreamDuring(async () => {
 		await fc.assert(fc.asyncProperty(bodies, async body => {
 			const {status, verdict} = await send({body});
 			return status === 200 || (status === 400 && verdict === 'not-run') || status === 404;
@@ -90,8 +90,8 @@
 	t.equal(outcome, 'whole');
 });
 
-tap.test('bytes that are no HTTP close their own connection alone', async t => {
-	const outcome = await undisturbed(async () => {
+tap.test('bytes that are not HTTP close only their own connection', async t => {
+	const outcome = await outcomeOfStreamDuring(async () => {
 		for (const bytes of ['\0\u0001\u0002garbage\r\n\r\n', 'POST / HTTP/9.9\r\n\r\n', 'POST /v1/models HTTP/1.1\r\nHost: x\r\nContent-Length: nine\r\n\r\n']) {
 			await closedAfter(`${host}:${port}`, Buffer.from(bytes));
 		}
@@ -99,9 +99,9 @@
 	t.equal(outcome, 'whole');
 });
 
-// A peer that speaks wrongly sees its connection closed. Every fault ends only the connection it
-// came over: the stream that runs between the entry and the same side goes on to its last token.
-tap.test('a side closes the connection of a peer whose frames are wrong', async t => {
+// A protocol violation closes only the connection on which it occurs: the stream between the entry and
+// the same side continues to its last token.
+tap.test('a side closes the connection of a peer that sends invalid frames', async t => {
 	const hello: Message = {type: 'hello', protocol: 1, role: 'entry', instance: 'stranger', zone: 'zone-a', catalogueOffset: 0};
 	const frames: Array<[string, Uint8Array[]]> = [
 		['random bytes', [Buffer.from('GET / HTTP/1.1\r\n\r\n')]],
@@ -111,7 +111,7 @@
 		['an old protocol', [encodeFrame({...hello, protocol: 0})]],
 		['a message that only sides send', [encodeFrame(hello), encodeFrame({type: 'offer', stream: 1, request: 'r', holdMilliseconds: 1})]],
 	];
-	const outcome = await undisturbed(async () => {
+	const outcome = await outcomeOfStreamDuring(async () => {
 		for (const [name, parts] of frames) {
 			await closedAfter(side.address, Buffer.concat(parts));
 			t.pass(name);
@@ -124,12 +124,12 @@
 	t.equal(outcome, 'whole');
 });
 
-// The membership list names a side that answers with garbage. The entry drops that connection each
-// time it tries, and callers are served by the good side without a failure.
-tap.test('an entry survives a side that talks nonsense', async t => {
-	let met = 0;
+// The membership list names a side that sends garbage. The entry closes that connection after each
+// attempt, and callers are served by the working side without a failure.
+tap.test('an entry tolerates a side that sends garbage', async t => {
+	let connectionCount = 0;
 	const rogue = net.createServer(socket => {
-		met++;
+		connectionCount++;
 		socket.on('error', ignore);
 		socket.write(Buffer.alloc(100, 0xA7));
 	}).listen(0, host);
@@ -137,7 +137,7 @@
 	fleet.members.set({
 		instance: 'rogue', role: 'side', address: `${host}:${(rogue.address() as AddressInfo).port}`, zone: 'zone-a', state: 'live', endpoint: 'rogue', targets: [model],
 	});
-	const outcome = await undisturbed(async () => until(() => met >= 2));
+	const outcome = await outcomeOfStreamDuring(async () => until(() => connectionCount >= 2));
 	t.equal(outcome, 'whole');
 	t.match(await send({}), {status: 200});
 	rogue.close();
@@ -159,7 +159,7 @@
 }
 
 function ignore(): void {
-	// The connection's close says enough.
+	// The 'close' event that follows is awaited instead.
 }
 
 function portOf(address: string): number {
--- a/test/path/explain.test.ts
+++ b/test/path/explain.test.ts
@@ -15,7 +15,7 @@
 	return fleet;
 }
 
-tap.test('an answered request is explained from its class to its end', async t => {
+tap.test('the journal explains a served request from classification to its end', async t => {
 	await using fleet = await createFleet();
 	const {entry} = fleet.entries[0]!;
 	const result = await callModel({address: entry.address, key: keyOf(workspace), model, prompt: 'Which thread? [[tokens=8]]'});
@@ -23,19 +23,20 @@
 	t.same(decisions.map(({code}) => code), ['classified', 'ranked', 'reserved', 'offered', 'started', 'finished']);
 	t.match(decisions[0]!.detail, {workspace, class: `${workspace}/answer`, tier: 0});
 	t.match(decisions.at(-1)!.detail, {tokens: 8, attempts: 1});
-	t.notMatch(JSON.stringify(decisions), /Which thread/v, 'no prompt is kept');
+	t.notMatch(JSON.stringify(decisions), /Which thread/v, 'the journal holds no prompt text');
 });
 
-tap.test('a refused request is explained by its reason and verdict', async t => {
+tap.test('the journal explains a refused request by its reason and verdict', async t => {
 	await using fleet = await createFleet();
 	const {entry} = fleet.entries[0]!;
 	const result = await callModel({address: entry.address, key: keyOf(workspace), model: 'unknown', prompt: 'x'});
 	t.match(entry.telemetry.journal.explain(result.requestId!).at(-1), {code: 'failed', detail: {reason: 'model_not_found', verdict: 'not-run'}});
 });
 
-// The caller sees one unbroken answer. Its engine crashes in the middle of it, at a hundred tokens, so that
-// some have reached the entry however busy the machine is; the entry resumes at the other endpoint. An operator sees the failure, its verdict and where the request went on.
-tap.test('a resumed request shows why and where it went on', async t => {
+// An engine crashes in the middle of a response and the entry resumes the stream at the other endpoint, so the
+// caller sees no interruption. The crash comes after a hundred tokens, so that some have reached the entry even on
+// a busy machine. The journal shows the failure, its verdict and where the request was resumed.
+tap.test('the journal explains why and where a request was resumed', async t => {
 	await using fleet = await createFleet();
 	const {entry} = fleet.entries[0]!;
 	fleet.endpoints[0]!.engine.faults.crashAfterTokens = 100;
--- a/test/path/limits.test.ts
+++ b/test/path/limits.test.ts
@@ -6,13 +6,13 @@
 
 const model = 'model';
 const workspace = 'stickwerk';
-/** A share that nobody uses goes back with its lease, and the next report of demand brings it here. */
+/** An unused share is returned when its lease expires, and the next demand report assigns it to this entry. */
 const leasesToWait = 3;
 
-// Callers of one class send ten calls at once, though the catalogue lets it run two. Two entries
-// share the limit by leases. Those beyond it hear at once that they were not run and when to come
-// back; the engines have run just those that were answered.
-tap.test('a class is held to its fleet-wide limit, and refusals are certain', async t => {
+// Callers of one class send ten calls at once, although the catalogue limits it to two. Two entries
+// share the limit by leases. Calls over the limit are refused immediately as not run, with a time to
+// retry; the engines have run exactly the calls that got a response.
+tap.test('a class is held to its fleet-wide limit, and refused calls have not run', async t => {
 	await using fleet = await LocalFleet.create({
 		entries: 2, endpoints: 2, zones: ['zone-a'], models: [model], random: () => 0.5, logLevel: 'fatal',
 	});
@@ -28,14 +28,14 @@
 	t.ok(refused.length >= 5, 'most are over the limit');
 	t.ok(refused.every(({status, code, verdict, retryAfterSeconds}) => status === 429 && code === 'limit_exceeded' && verdict === 'not-run' && (retryAfterSeconds ?? 0) > 0));
 	t.equal(fleet.endpoints.reduce((sum, {engine}) => sum + engine.runsByRequest.size, 0), whole.length);
-	// The other entry's lease may still hold the whole limit; who comes back when told gets the place that has come free.
+	// The other entry's lease may still hold the whole limit; a call that is retried after Retry-After gets the freed slot.
 	const ask = async () => callModel({address: fleet.entries[0]!.entry.address, key: keyOf(workspace), model, prompt: 'Later [[tokens=5]]'});
 	let later = await ask();
-	for (let told = 1; later.outcome !== 'whole' && told <= leasesToWait; told++) {
+	for (let retries = 1; later.outcome !== 'whole' && retries <= leasesToWait; retries++) {
 		t.match(later, {status: 429, code: 'limit_exceeded', verdict: 'not-run'});
 		await sleep((later.retryAfterSeconds ?? 0) * 1000);
 		later = await ask();
 	}
 
-	t.equal(later.outcome, 'whole', 'an ended request gives its place back');
+	t.equal(later.outcome, 'whole', 'a finished request releases its slot');
 });
--- a/test/path/mutual-tls.test.ts
+++ b/test/path/mutual-tls.test.ts
@@ -10,7 +10,7 @@
 
 type Mutual = Extract<Security, {type: 'mutual-tls'}>;
 
-/** An authority and a certificate that it signed. */
+/** Creates a certificate authority and a certificate that it signed. */
 async function createIdentity(name: string): Promise<Mutual> {
 	const authority = await generate([{name: 'commonName', value: `${name} authority`}], {
 		keySize: 2048, extensions: [{name: 'basicConstraints', cA: true, critical: true}, {name: 'keyUsage', keyCertSign: true, digitalSignature: true}],
@@ -21,10 +21,10 @@
 	return {type: 'mutual-tls', key: signed.private, certificate: signed.cert, authority: authority.cert};
 }
 
-// Callers are served over TLS as over plain text. A stranger connects to the side: without any
-// certificate, with one of another authority, or in plain text. Each time the connection ends
-// before the stranger has read one byte of ours, and the side lives on.
-tap.test('between processes only our authority\'s certificates open the door', async t => {
+// With mutual TLS between the processes callers are served as usual. A peer that connects to the side without a
+// certificate, with one of another authority, or in plain text is disconnected before it has
+// received a byte of application data, and the side keeps serving.
+tap.test('between processes only certificates of the fleet\'s authority are accepted', async t => {
 	const security = await createIdentity('fleet');
 	const stranger = await createIdentity('stranger');
 	await using fleet = await LocalFleet.create({
@@ -42,24 +42,24 @@
 	t.equal(await bytesRead(tls.connect(trusting), hello), 0, 'no certificate');
 	t.equal(await bytesRead(tls.connect({...trusting, key: stranger.key, cert: stranger.certificate}), hello), 0, 'another authority');
 	t.equal(await bytesRead(net.connect(port, '127.0.0.1'), hello), 0, 'plain text');
-	await t.rejects(dial(address, stranger), 'a stranger\'s own check refuses our side too');
+	await t.rejects(dial(address, stranger), 'a peer with another authority rejects the side\'s certificate too');
 	t.match(await call(), {outcome: 'whole'});
 });
 
-// A side that claims to be ours but can't prove it hears nothing: the entry breaks off the handshake.
+// The entry aborts the handshake with a side whose certificate is not of the fleet's authority.
 tap.test('an entry sends nothing to a side without the right certificate', async t => {
 	const security = await createIdentity('fleet');
 	const stranger = await createIdentity('stranger');
-	let heard = 0;
+	let receivedBytes = 0;
 	const server = tls.createServer({key: stranger.key, cert: stranger.certificate}, socket => {
 		socket.on('data', (bytes: Uint8Array) => {
-			heard += bytes.length;
+			receivedBytes += bytes.length;
 		});
 	}).listen(0, '127.0.0.1');
 	await once(server, 'listening');
 	const {port} = server.address() as net.AddressInfo;
 	await t.rejects(dial(`127.0.0.1:${port}`, security));
-	t.equal(heard, 0);
+	t.equal(receivedBytes, 0);
 	server.close();
 });
 
@@ -77,9 +77,9 @@
 	return socket instanceof tls.TLSSocket ? bytes : Math.max(0, bytes - alertBytes);
 }
 
-/** The TLS alert that answers plain text; it is no data of ours. */
+/** Length of the TLS alert sent in reply to plain text, which is not application data. */
 const alertBytes = 7;
 
 function ignore(): void {
-	// The connection's close says enough.
+	// The 'close' event that follows is awaited instead.
 }
--- a/test/path/openai-client.test.ts
+++ b/test/path/openai-client.test.ts
@@ -16,7 +16,7 @@
 const messages = [{role: 'user' as const, content: 'Draft a thread chart. [[tokens=25]]'}];
 const expected = expectedAnswer(JSON.stringify({model, messages}));
 
-tap.test('a stock client streams a chat answer', async t => {
+tap.test('the OpenAI client streams a chat response', async t => {
 	const {data, response} = await client.chat.completions.create({model, messages, stream: true, stream_options: {include_usage: true}}).withResponse();
 	let text = '';
 	let tokens: number | undefined;
@@ -30,7 +30,7 @@
 	t.match(response.headers.get('cassiaflow-request-id'), /^[\da-f\-]{36}$/v);
 });
 
-tap.test('a stock client gets a whole chat answer and a whole completion', async t => {
+tap.test('the OpenAI client gets a chat response and a completion without streaming', async t => {
 	const chat = await client.chat.completions.create({model, messages});
 	t.match(chat, {object: 'chat.completion', model, choices: [{message: {role: 'assistant', content: expected}, finish_reason: 'stop'}], usage: {completion_tokens: 25}});
 	const bounded = await client.chat.completions.create({model, messages, max_completion_tokens: 5});
@@ -40,18 +40,18 @@
 	t.match(completion, {object: 'text_completion', choices: [{text: expectedAnswer(JSON.stringify({model, prompt})), finish_reason: 'stop'}]});
 });
 
-tap.test('a stock client lists the models', async t => {
+tap.test('the OpenAI client lists the models', async t => {
 	const models = await client.models.list();
 	t.same(models.data.map(({id, object}) => ({id, object})), [{id: model, object: 'model'}]);
 });
 
-tap.test('a stock client meets failures as its own error types, with the verdict', async t => {
+tap.test('the OpenAI client reports failures as its own error types, with the verdict', async t => {
 	const unknownModel = await errorOf(client.chat.completions.create({model: 'nothing', messages}));
 	t.type(unknownModel, OpenAI.NotFoundError);
 	t.match(unknownModel, {code: 'model_not_found', error: {verdict: 'not-run'}});
 	t.match((unknownModel as InstanceType<typeof OpenAI.NotFoundError>).headers.get('cassiaflow-verdict'), 'not-run');
-	const stranger = new OpenAI({apiKey: 'nobody', baseURL: client.baseURL, maxRetries: 0});
-	t.type(await errorOf(stranger.models.list()), OpenAI.AuthenticationError);
+	const unauthorizedClient = new OpenAI({apiKey: 'nobody', baseURL: client.baseURL, maxRetries: 0});
+	t.type(await errorOf(unauthorizedClient.models.list()), OpenAI.AuthenticationError);
 	t.type(await errorOf(client.chat.completions.create({model, messages, n: 2})), OpenAI.BadRequestError);
 	t.type(await errorOf(client.chat.completions.create({model, messages}, {headers: {'Cassiaflow-Class': 'nothing'}})), OpenAI.BadRequestError);
 });
--- a/test/path/planned-stops.test.ts
+++ b/test/path/planned-stops.test.ts
@@ -17,7 +17,7 @@
 	return fleet;
 }
 
-/** Callers that go on sending until they are told to stop; each call's outcome is kept. */
+/** Sends calls at a steady rate until it is stopped, and keeps the result of each. */
 class SteadyLoad {
 	static create(fleet: LocalFleet): SteadyLoad {
 		const load = new SteadyLoad(fleet);
@@ -44,7 +44,7 @@
 		return Promise.all(this.#calls);
 	}
 
-	/** As the platform's balancer does, it sends only to entries that are ready. */
+	/** Sends only to entries that are ready, as the platform's load balancer does. */
 	async #send(): Promise<void> {
 		while (!this.#stopped) {
 			const ready = this.#fleet.entries.filter(({entry}) => entry.isReady);
@@ -59,9 +59,9 @@
 	return [...new Set(results.map(({outcome, code}) => `${outcome} ${code ?? ''}`.trim()))];
 }
 
-// Callers see nothing but whole answers. An entry stops as planned under load: it fails its readiness
-// check, so the balancer goes elsewhere, finishes every stream that it has, and only then closes.
-tap.test('a planned stop of an entry under load cuts no request', async t => {
+// All callers get complete responses. An entry shuts down gracefully under load: it fails its readiness
+// check, so that the load balancer uses other entries, finishes all its streams, and only then closes.
+tap.test('a graceful shutdown of an entry under load interrupts no request', async t => {
 	await using fleet = await createFleet(3);
 	const load = SteadyLoad.create(fleet);
 	while (load.sent < 40) {
@@ -77,10 +77,10 @@
 	t.same(outcomes(await load.finish()), ['whole']);
 });
 
-// Callers see nothing but whole answers. An endpoint leaves under load while the membership list is a
-// minute behind and goes on calling it live. Its side's own word outranks the list: what ran there ends,
-// and its engine starts nothing more once the entries have heard.
-tap.test('a leaving endpoint gets no new work, though the membership list is a minute behind', async t => {
+// All callers get complete responses. An endpoint drains under load while the membership list is a minute
+// out of date and still shows it as live. The state that its side reports takes precedence over the list:
+// running requests finish, and its engine starts no request once the entries have received the report.
+tap.test('a draining endpoint gets no new requests, although the membership list is a minute out of date', async t => {
 	await using fleet = await createFleet(3);
 	fleet.members.faults.lagMilliseconds = 60_000;
 	fleet.members.faults.phantoms = [...fleet.endpoints].map(({instance, side, name, zone}) => ({
@@ -91,21 +91,21 @@
 		await delay(pauseMilliseconds);
 	}
 
-	const [leaving] = fleet.endpoints;
-	await leaving!.side.drain();
-	const runsWhenDrained = leaving!.engine.runsByRequest.size;
+	const [draining] = fleet.endpoints;
+	await draining!.side.drain();
+	const runsWhenDrained = draining!.engine.runsByRequest.size;
 	t.ok(runsWhenDrained > 0);
 	const drainedAt = load.sent;
 	while (load.sent < drainedAt + 60) {
 		await delay(pauseMilliseconds);
 	}
 
-	t.equal(leaving!.engine.runsByRequest.size, runsWhenDrained);
+	t.equal(draining!.engine.runsByRequest.size, runsWhenDrained);
 	t.same(outcomes(await load.finish()), ['whole']);
 });
 
-// Callers see whole answers. Side and entry leave at the same time, while another engine crashes.
-tap.test('planned stops at the moment of a crash cut nothing', async t => {
+// All callers get complete responses. A side and an entry shut down at the same time, while another engine crashes.
+tap.test('graceful shutdowns during a crash interrupt no request', async t => {
 	await using fleet = await createFleet(4);
 	const load = SteadyLoad.create(fleet);
 	while (load.sent < 40) {
--- a/test/path/quarantine.test.ts
+++ b/test/path/quarantine.test.ts
@@ -30,7 +30,7 @@
 	return fleet.endpoints.reduce((sum, {engine}) => sum + engine.crashes, 0);
 }
 
-/** Resolves in the turn in which the last entry hears of a first crash; a poll could come after the second one. */
+/** Resolves in the event-loop turn in which the last entry learns of the first crash; polling could notice it only after the second. */
 async function firstCrashKnown(fleet: LocalFleet): Promise<void> {
 	await Promise.all(fleet.entries.map(({quarantine}) => new Promise<void>(resolve => {
 		quarantine.addListener(() => {
@@ -39,10 +39,10 @@
 	})));
 }
 
-// Guards against a request that takes down one endpoint after the other, sent again with changed ids.
-tap.test('a poison request sent again through other entries takes down at most two endpoints', async t => {
+// Without quarantine, a request that is sent again with changed ids crashes one endpoint after the other.
+tap.test('a poison request sent again through other entries crashes at most two endpoints', async t => {
 	await using fleet = await createFleet(4);
-	const innocents = Array.from({length: 12}, async (_, index) => call(fleet, index, `Innocent ${index} [[tokens=80]]`));
+	const harmless = Array.from({length: 12}, async (_, index) => call(fleet, index, `Harmless ${index} [[tokens=80]]`));
 	const first = await call(fleet, 0, `${poison} order 0191d5a2-7b1c-7aaa-8bbb-000000000000`);
 	t.match(first, {outcome: 'failed', code: 'quarantined'});
 	t.equal(crashes(fleet), 2);
@@ -52,17 +52,17 @@
 	}
 
 	t.equal(crashes(fleet), 2);
-	const innocentResults = await Promise.all(innocents);
-	t.same(innocentResults.map(({outcome}) => outcome), Array.from({length: 12}, () => 'whole'));
-	const later = await Promise.all(Array.from({length: 12}, async (_, index) => call(fleet, index, `Innocent ${index} [[tokens=80]]`)));
+	const harmlessResults = await Promise.all(harmless);
+	t.same(harmlessResults.map(({outcome}) => outcome), Array.from({length: 12}, () => 'whole'));
+	const later = await Promise.all(Array.from({length: 12}, async (_, index) => call(fleet, index, `Harmless ${index} [[tokens=80]]`)));
 	t.ok(later.every(({outcome}) => outcome === 'whole'));
 	for (const {quarantine} of fleet.entries) {
 		t.equal(listQuarantined(quarantine.state, Date.now()).length, 1);
 	}
 });
 
-// Guards against copies of a suspect that run at several endpoints at the same instant.
-tap.test('copies of a poison request that come once its first crash is known are not run side by side', async t => {
+// Without the check, copies of a suspect request run at several endpoints at the same instant.
+tap.test('copies of a poison request that arrive after its first crash is known are not run concurrently', async t => {
 	await using fleet = await createFleet(5);
 	const known = firstCrashKnown(fleet);
 	const first = call(fleet, 0, `${poison} first`);
@@ -74,8 +74,8 @@
 	t.equal(crashes(fleet), 2);
 });
 
-// Guards against innocent requests held to account for the end of their endpoint.
-tap.test('an endpoint that dies by itself leaves no request refused', async t => {
+// Requests that only happened to run when their endpoint crashed must not be quarantined.
+tap.test('an endpoint that crashes by itself causes no request to be refused', async t => {
 	await using fleet = await createFleet(3);
 	const [crashing] = fleet.endpoints;
 	crashing!.engine.faults.crashAfterTokens = 60;
--- a/test/path/services.test.ts
+++ b/test/path/services.test.ts
@@ -39,11 +39,11 @@
 	return text;
 }
 
-tap.test('a call reaches the service by method and path, without the caller\'s key', async t => {
+tap.test('a call reaches the service with its method and path, without the caller\'s key', async t => {
 	const answer = await call('PUT', 'kitchen/echo/x?table=4', 'no nuts');
 	t.match(answer, {status: 200, text: 'no nuts', headers: {'x-echo-method': 'PUT', 'x-echo-path': '/echo/x?table=4', 'content-type': 'text/plain'}});
 	t.equal(answer.headers['x-echo-request-id'], answer.headers['cassiaflow-request-id']);
-	t.match(await call('GET', 'kitchen/nothing'), {status: 404, text: /no such path/v}, 'the service\'s own answers pass');
+	t.match(await call('GET', 'kitchen/nothing'), {status: 404, text: /no such path/v}, 'responses of the service are passed through');
 	t.match(await call('GET', 'cellar/echo'), {status: 404, text: /model_not_found/v});
 });
 
@@ -57,7 +57,7 @@
 
 // The caller sends one part, reads it back, and only then sends the next: neither direction waits for
 // the other to be complete.
-tap.test('an answer may begin before the body has ended', async t => {
+tap.test('a response may begin before the request body has ended', async t => {
 	const request = open('PUT', 'kitchen/echo');
 	request.write('first');
 	const [response] = await once(request, 'response') as [IncomingMessage];
@@ -67,8 +67,8 @@
 	t.equal(await textOf(response), 'second');
 });
 
-// A ticket runs and its answer is lost. The caller hears may-have-run, and the ticket ran once: a
-// POST is not among the methods that may be repeated.
+// A ticket runs and its response is lost. The caller gets may-have-run, and the ticket ran once, because
+// POST is not among the service's idempotent methods.
 tap.test('a call that may have run is not run again', async t => {
 	service.faults.loseAnswers = 1;
 	const answer = await call('POST', 'kitchen/tickets', 'lost ticket');
@@ -76,16 +76,16 @@
 	t.equal(service.runsByBody.get('lost ticket'), 1);
 });
 
-// The service dies in the middle of its answer. The status line is out, so the caller's connection
-// breaks: it does not take half a ticket for a whole one.
-tap.test('an answer that breaks off is no clean end', async t => {
+// The service closes the connection in the middle of its response. The status line has been sent, so the
+// caller's connection is broken off and the caller cannot take the partial response for a complete one.
+tap.test('a truncated response does not end cleanly', async t => {
 	service.faults.truncateAnswers = 1;
 	await t.rejects(call('POST', 'kitchen/tickets', 'cut ticket'));
 	t.match(await call('POST', 'kitchen/tickets', 'next ticket'), {status: 200});
 });
 
-// A caller leaves while its body is on its way: the call is cut, and the slot is free for the next.
-tap.test('a body that never ends does not hold its slot', async t => {
+// A caller disconnects while it sends its body: the call is cancelled, and its slot is free for the next.
+tap.test('a body that never ends does not keep its slot', async t => {
 	const request = open('POST', 'kitchen/echo');
 	request.on('error', () => undefined);
 	request.write('half');
@@ -95,8 +95,8 @@
 	t.match(await call('PUT', 'kitchen/echo', 'after'), {status: 200, text: 'after'});
 });
 
-// A download that nobody reads stands still at its window, and another caller is served meanwhile.
-tap.test('a slow reader holds back its own call alone', async t => {
+// A download that its caller does not read stops at its flow-control window, and another caller is served meanwhile.
+tap.test('a slow reader stalls only its own call', async t => {
 	const request = open('GET', 'kitchen/bytes?count=200000000');
 	request.end();
 	const [response] = await once(request, 'response') as [IncomingMessage];
--- a/test/path/stream-failures.test.ts
+++ b/test/path/stream-failures.test.ts
@@ -52,32 +52,32 @@
 	return fleet.endpoints.reduce((sum, {engine}) => sum + engine.resumeMismatches, 0);
 }
 
-// Callers see whole answers, each token once. An engine writes an event into another stream, repeats or
-// skips one, or sends one of an earlier or of nobody's request, or ends early without its mark. Its side
-// stops at the first event that does not fit; the entry resumes elsewhere after the last good token.
+// An engine writes an event into another stream, repeats or skips an event, sends an event of an earlier or
+// unknown request, or ends early without `[DONE]`. Its side stops at the first invalid event, and the entry
+// resumes at another endpoint after the last valid token, so that callers get complete responses, each token once.
 for (const fault of ['crossEvents', 'lateEvents', 'duplicateEvents', 'foreignEvents', 'dropEvents', 'truncateStreams'] as const) {
-	tap.test(`callers get their own whole answers through ${fault}`, async t => {
+	tap.test(`callers get their own complete responses despite ${fault}`, async t => {
 		const paths: Paths = new Map();
 		await using fleet = await createFleet(3, paths);
 		await Promise.all(calls(fleet, 3));
-		const faulty = fleet.endpoints.map(({engine}) => engine);
+		const engines = fleet.endpoints.map(({engine}) => engine);
 		const sent = calls(fleet, 9);
-		await until(() => faulty.some(engine => engine.running > 1));
-		const hit = faulty.find(engine => engine.running > 1)!;
-		hit.faults[fault] = 2;
+		await until(() => engines.some(engine => engine.running > 1));
+		const faultyEngine = engines.find(engine => engine.running > 1)!;
+		faultyEngine.faults[fault] = 2;
 		const results = await Promise.all(sent);
 		t.same(results.map(({outcome}) => outcome), Array.from({length: 9}, () => 'whole'));
 		t.ok(results.every(result => result.tokens === tokens));
-		t.ok(hit.faults[fault] < 2, 'the fault was shown');
+		t.ok(faultyEngine.faults[fault] < 2, 'the fault was injected');
 		t.equal(mismatches(fleet), 0);
 		await close(paths);
 	});
 }
 
-// Callers see a pause and then the rest. A side process dies with streams on it: its connections break,
-// the engine drops what it ran, and the entry resumes each stream at another side. The replacement that
-// starts beside the same engine gets work again.
-tap.test('streams of a side that crashes go on elsewhere, and its replacement serves', async t => {
+// Callers see a pause and then the rest. A side process crashes with open streams: its connections break,
+// the engine cancels their requests, and the entry resumes each stream at another side. A replacement
+// that starts for the same engine gets requests again.
+tap.test('streams of a crashed side are resumed at another side, and its replacement serves', async t => {
 	const paths: Paths = new Map();
 	await using fleet = await createFleet(2, paths);
 	const sent = calls(fleet, 8);
@@ -95,10 +95,10 @@
 	await close(paths);
 });
 
-// The caller's connection breaks in the middle of the answer, with no clean end: half an answer can't be
-// taken for whole. The sides see their connections to the entry break and cancel its streams at the
-// engines, so nothing is computed for nobody. Sent again through the other entry, the call is answered.
-tap.test('an entry that crashes breaks its callers off and leaves nothing running', async t => {
+// The caller's connection breaks in the middle of the response without a clean end, so a partial response
+// can't be taken for a complete one. The sides see their connections to the entry break and cancel its
+// streams at the engines. Sent again through the other entry, the call succeeds.
+tap.test('an entry that crashes breaks its callers\' connections and leaves nothing running', async t => {
 	const paths: Paths = new Map();
 	await using fleet = await createFleet(2, paths);
 	const sent = Array.from({length: 6}, (_, index) => call(fleet, `Lost ${index} [[tokens=2000]]`));
@@ -112,11 +112,11 @@
 	await close(paths);
 });
 
-// The caller sees a pause of some seconds and then the rest. The path between entry and side falls silent
-// without closing, as when an instance vanishes. The entry misses the heartbeats, gives the connection up
-// and resumes at the other side; when the old path wakes up, its late frames reach nobody. A call without
-// a token whose class may wait less than that silence is told endpoint_lost, so this class may wait longer.
-tap.test('a half-open connection is given up, and the stream goes on elsewhere', async t => {
+// The caller sees a pause of some seconds and then the rest. The path between entry and side stops passing
+// bytes without closing, as when an instance vanishes. The entry misses the heartbeats, closes the connection
+// and resumes at the other side; when the old path recovers, its late frames are ignored. A call without a
+// token whose class may wait less than this silence fails with endpoint_lost, so this class may wait longer.
+tap.test('a half-open connection is closed, and its streams are resumed at another side', async t => {
 	const paths: Paths = new Map();
 	await using fleet = await createFleet(2, paths);
 	const sent = Array.from({length: 4}, (_, index) => call(fleet, `Silent ${index} [[tokens=300]]`, {className: 'chart'}));
@@ -133,9 +133,9 @@
 	await close(paths);
 });
 
-// Callers see whole answers. Two engines crash at the same moment, and the one that is left gets every
-// stream, each from the token its caller has.
-tap.test('two engines that crash together are survived by their streams', async t => {
+// Two engines crash at the same moment. All streams are resumed at the remaining engine, each after the
+// last token that its caller has, so that callers get complete responses.
+tap.test('streams survive the simultaneous crash of two engines', async t => {
 	const paths: Paths = new Map();
 	await using fleet = await createFleet(3, paths);
 	const sent = fleet.entries.flatMap(({entry}) => Array.from({length: 6}, (_, index) => call(fleet, `Chart ${index} of ${entry.address}`, {address: entry.address})));
@@ -148,17 +148,17 @@
 	await close(paths);
 });
 
-// Nine callers leave in the middle of their answers and one stays. The engines drop what the nine asked
-// for and count its tokens as discarded; the one who stays gets the whole answer.
-tap.test('callers that vanish leave nothing running, and others notice nothing', async t => {
+// Nine callers disconnect in the middle of their responses and one stays. The engines cancel the nine requests
+// and count their tokens as discarded; the caller that stays gets the complete response.
+tap.test('callers that disconnect leave nothing running and do not affect others', async t => {
 	const paths: Paths = new Map();
 	await using fleet = await createFleet(2, paths);
-	const leaving = new AbortController();
-	const gone = Array.from({length: 9}, (_, index) => call(fleet, `Gone ${index} [[tokens=2000]]`, {signal: leaving.signal}));
+	const abort = new AbortController();
+	const disconnected = Array.from({length: 9}, (_, index) => call(fleet, `Gone ${index} [[tokens=2000]]`, {signal: abort.signal}));
 	const staying = call(fleet, 'Staying');
 	await until(() => running(fleet) >= 9);
-	leaving.abort();
-	await Promise.all(gone);
+	abort.abort();
+	await Promise.all(disconnected);
 	const stayed = await staying;
 	t.equal(stayed.outcome, 'whole');
 	await until(() => running(fleet) === 0);
--- a/test/path/whole-path.test.ts
+++ b/test/path/whole-path.test.ts
@@ -19,7 +19,7 @@
 	return {address: fleet.entries[0]!.entry.address, key: keyOf(workspace), model, prompt, ...more};
 }
 
-tap.test('a caller gets its own whole answer from any entry', async t => {
+tap.test('a caller gets its own complete response from any entry', async t => {
 	await using fleet = await createFleet();
 	const calls = Array.from({length: 20}, async (_, index) => callModel(callOf(fleet, `Question ${index} [[tokens=12]]`, {address: fleet.entries[index % 2]!.entry.address})));
 	const results = await Promise.all(calls);
@@ -38,10 +38,10 @@
 	t.equal(fleet.endpoints[0]!.engine.runsByRequest.size, 0);
 });
 
-// The caller sees one stream, without a break. An engine crashes after some tokens; its side tells
-// the entry that the request may have run; the request is idempotent, so the entry goes to the other
-// side with the tokens that the caller has, and each token arrives exactly once.
-tap.test('a stream goes on at another endpoint when its engine crashes', async t => {
+// An engine crashes after some tokens and its side reports that the request may have run. The request is
+// idempotent, so the entry resumes it at the other side after the tokens that the caller already has. The
+// caller sees one uninterrupted stream with each token exactly once.
+tap.test('a stream is resumed at another endpoint when its engine crashes', async t => {
 	await using fleet = await createFleet();
 	const crashing = fleet.endpoints[0]!.engine;
 	crashing.faults.crashAfterTokens = 10;
@@ -51,9 +51,9 @@
 	t.equal(fleet.endpoints.reduce((sum, {engine}) => sum + engine.resumeMismatches, 0), 0);
 });
 
-// Callers see nothing at all: the side tells its entries that it is leaving, refuses new
-// reservations, finishes what runs, and only then closes.
-tap.test('a planned stop of a side cuts nothing', async t => {
+// Callers notice nothing: the side announces to its entries that it is draining, refuses new
+// reservations, finishes running requests, and only then closes.
+tap.test('a graceful shutdown of a side interrupts no request', async t => {
 	await using fleet = await createFleet();
 	const calls = Array.from({length: 10}, async (_, index) => callModel(callOf(fleet, `Running ${index} [[tokens=60]]`)));
 	await fleet.stopEndpoint(fleet.endpoints[0]!);
