--- a/fakes/cassiaflow-fake.ts
+++ b/fakes/cassiaflow-fake.ts
@@ -6,12 +6,12 @@
 	FakeEngine, FakeLog, FakeMembers, FakeService, FakeWeights,
 } from './index.js';
 
-type Fake = AsyncDisposable & {readonly url: string};
+type StandIn = AsyncDisposable & {readonly url: string};
 
 const kinds = ['log', 'members', 'engine', 'service', 'weights'] as const;
 type Kind = (typeof kinds)[number];
 
-function createFake(kind: Kind, port: number, models: string[]): Promise<Fake> {
+function createStandIn(kind: Kind, port: number, models: string[]): Promise<StandIn> {
 	switch (kind) {
 		case 'log': {
 			return FakeLog.create({port});
@@ -48,15 +48,15 @@
 	.parseAsync();
 
 const chosen = settings.kind === 'all' ? kinds : [settings.kind as Kind];
-const fakes: Fake[] = [];
+const standIns: StandIn[] = [];
 for (const [index, kind] of chosen.entries()) {
-	const fake = await createFake(kind, settings.port === 0 ? 0 : settings.port + index, settings.model);
-	fakes.push(fake);
-	console.log(JSON.stringify({kind, url: fake.url}));
+	const standIn = await createStandIn(kind, settings.port === 0 ? 0 : settings.port + index, settings.model);
+	standIns.push(standIn);
+	console.log(JSON.stringify({kind, url: standIn.url}));
 }
 
 await new Promise(resolve => {
 	process.once('SIGTERM', resolve);
 	process.once('SIGINT', resolve);
 });
-await Promise.all(fakes.map(fake => fake[Symbol.asyncDispose]()));
+await Promise.all(standIns.map(standIn => standIn[Symbol.asyncDispose]()));
--- a/fakes/engine/answer.ts
+++ b/fakes/engine/answer.ts
@@ -10,28 +10,28 @@
 	resume_text: z.string().optional(),
 });
 
-/** What an engine makes of a request's body. */
+/** A parsed request body. */
 export type Task = {
 	readonly model: string;
 	readonly isStream: boolean;
 	readonly prompt: string;
 	readonly promptTokens: number;
-	/** How many tokens the whole answer has; its caller does not know it on arrival. */
+	/** Number of tokens in the complete response; unknown to the caller when it sends the request. */
 	readonly length: number;
 	readonly isBounded: boolean;
 	readonly resumeText: string;
-	/** The text of token `index`: it depends on the body alone, so every engine writes the same. */
+	/** Returns the text of token `index`. It depends only on the body, so that every engine writes the same. */
 	readonly token: (index: number) => string;
 };
 
 const bytesPerToken = 4;
 const lengthMarker = /\[\[tokens=(?<tokens>\d+)\]\]/v;
 const words = ['satin', 'needle', 'thread', 'hoop', 'tray', 'menu', 'guest', 'table', 'stitch', 'colour', 'chart', 'order', 'kitchen', 'border', 'fill', 'underlay'];
-/** Lengths without a marker run from `shortest` to about 330 tokens, most of them short. */
-const shortest = 4;
-const longTail = 4.4;
+/** Lengths without a marker range from `shortestLength` to about 330 tokens, most of them short. */
+const shortestLength = 4;
+const lengthExponent = 4.4;
 
-/** Reads a body; throws if it is no request that an engine takes. */
+/** Parses a body; throws if it is not a valid request. */
 export function readTask(text: string): Task {
 	const body = bodySchema.parse(JSON.parse(text));
 	if (body.messages === undefined && body.prompt === undefined) {
@@ -40,21 +40,21 @@
 
 	const prompt = body.prompt ?? body.messages!.map(message => `${message.role}: ${contentText(message.content)}`).join('\n');
 	const seed = hash(`${body.model}\n${prompt}`, 17);
-	const wanted = wantedLength(prompt, seed);
-	const bound = body.max_tokens ?? body.max_completion_tokens ?? Number.POSITIVE_INFINITY;
+	const naturalLength = naturalLengthOf(prompt, seed);
+	const maximumLength = body.max_tokens ?? body.max_completion_tokens ?? Number.POSITIVE_INFINITY;
 	return {
 		model: body.model,
 		isStream: body.stream ?? false,
 		prompt,
 		promptTokens: Math.ceil(prompt.length / bytesPerToken),
-		length: Math.min(wanted, bound),
-		isBounded: bound < wanted,
+		length: Math.min(naturalLength, maximumLength),
+		isBounded: maximumLength < naturalLength,
 		resumeText: body.resume_text ?? '',
 		token: index => index === 0 ? `#${seed.toString(36)}` : ` ${words[mix(seed, index) % words.length]!}`,
 	};
 }
 
-/** The whole text that any engine answers this body with: what a caller must get, to the letter. */
+/** Returns the complete response text of any engine to this body: exactly what a caller must get. */
 export function expectedAnswer(text: string): string {
 	const task = readTask(text);
 	return Array.from({length: task.length}, (_, index) => task.token(index)).join('');
@@ -64,19 +64,19 @@
 	return typeof content === 'string' ? content : JSON.stringify(content);
 }
 
-function wantedLength(prompt: string, seed: number): number {
-	const told = lengthMarker.exec(prompt)?.groups?.tokens;
-	if (told !== undefined) {
-		return Math.max(1, Number(told));
+function naturalLengthOf(prompt: string, seed: number): number {
+	const marked = lengthMarker.exec(prompt)?.groups?.tokens;
+	if (marked !== undefined) {
+		return Math.max(1, Number(marked));
 	}
 
-	return Math.floor(shortest * Math.exp(longTail * ((mix(seed, 1) % 1000) / 1000)));
+	return Math.floor(shortestLength * Math.exp(lengthExponent * ((mix(seed, 1) % 1000) / 1000)));
 }
 
 const fnvPrime = 16_777_619;
 
-/* eslint-disable no-bitwise -- FNV-1a is made of these operations. */
-/** A 32-bit FNV-1a hash: enough to tell test prompts apart, and the same in every process. */
+/* eslint-disable no-bitwise -- FNV-1a consists of these operations. */
+/** A 32-bit FNV-1a hash: sufficient to distinguish test prompts, and the same in every process. */
 export function hash(text: string, start = 2_166_136_261): number {
 	let value = start;
 	for (let index = 0; index < text.length; index++) {
--- a/fakes/engine/batch.ts
+++ b/fakes/engine/batch.ts
@@ -1,13 +1,13 @@
 import {type Task} from './answer.js';
 import {PrefixCache} from './prefix-cache.js';
 
-/** What an engine of this kind costs. Milliseconds are of a step; tokens are of KV memory. */
+/** Costs and capacity of an engine: milliseconds of step time, tokens of KV memory. */
 export type EngineCosts = {
 	readonly stepMilliseconds: number;
-	/** Added to a step for each request that decodes in it. */
+	/** Added to a step for each request decoded in it. */
 	readonly stepMillisecondsPerRequest: number;
 	readonly prefillMillisecondsPerToken: number;
-	/** The most prompt tokens that one step takes in. */
+	/** Maximum number of prompt tokens prefilled in one step. */
 	readonly prefillTokensPerStep: number;
 	readonly maximumBatch: number;
 	readonly memoryTokens: number;
@@ -15,7 +15,7 @@
 	readonly honoursPriority: boolean;
 };
 
-/** A step of a few milliseconds, as in the brief; memory for about sixty middling requests. */
+/** Steps of a few milliseconds, and memory for about sixty requests of medium length. */
 export const defaultCosts: EngineCosts = {
 	stepMilliseconds: 4,
 	stepMillisecondsPerRequest: 0.15,
@@ -31,17 +31,17 @@
 	readonly id: string;
 	readonly task: Task;
 	readonly priority: number;
-	/** The next token's number. */
+	/** Index of the next token. */
 	next: number;
 	prefillLeft: number;
 };
 
-/** What a step brought: each job produced the token before its `next`. */
+/** The result of a step: each job in `produced` has produced token `next - 1`. */
 export type Step = {readonly milliseconds: number; readonly produced: readonly Job[]};
 
 /**
- * Continuous batching: each step admits what memory has room for, takes in a part of the prompts and
- * gives one token to every request that decodes. It knows no clock and no network.
+ * Continuous batching: each step admits the jobs that fit into memory, prefills a part of their prompts and
+ * produces one token for every job whose prompt is prefilled. Uses neither clock nor network.
  */
 export class Batch {
 	static create(costs: EngineCosts): Batch {
@@ -50,7 +50,7 @@
 
 	readonly running = new Set<Job>();
 	readonly waiting: Job[] = [];
-	/** Prompt tokens computed, those of evicted and resumed requests included. */
+	/** Prefilled tokens, including those of evicted and resumed requests. */
 	prefilledTokens = 0;
 	evictions = 0;
 	readonly #costs: EngineCosts;
@@ -65,25 +65,25 @@
 		return this.running.size === 0 && this.waiting.length === 0;
 	}
 
-	/** Between 0 and 1. */
+	/** Fraction of memory in use, from 0 to 1. */
 	get memoryUsed(): number {
 		return Math.min(1, this.#usedTokens() / this.#costs.memoryTokens);
 	}
 
 	add(job: Job): void {
-		const rank = this.#costs.honoursPriority ? this.waiting.findIndex(other => other.priority > job.priority) : -1;
-		this.waiting.splice(rank === -1 ? this.waiting.length : rank, 0, job);
+		const insertAt = this.#costs.honoursPriority ? this.waiting.findIndex(other => other.priority > job.priority) : -1;
+		this.waiting.splice(insertAt === -1 ? this.waiting.length : insertAt, 0, job);
 	}
 
 	remove(job: Job): void {
 		this.running.delete(job);
-		const place = this.waiting.indexOf(job);
-		if (place !== -1) {
-			this.waiting.splice(place, 1);
+		const index = this.waiting.indexOf(job);
+		if (index !== -1) {
+			this.waiting.splice(index, 1);
 		}
 	}
 
-	/** Forgets everything, as a crash does. */
+	/** Drops all jobs and the prefix cache, as a crash does. */
 	clear(): void {
 		this.running.clear();
 		this.waiting.length = 0;
@@ -123,9 +123,9 @@
 	#prefill(): number {
 		let left = this.#costs.prefillTokensPerStep;
 		for (const job of this.running) {
-			const taken = Math.min(left, job.prefillLeft);
-			job.prefillLeft -= taken;
-			left -= taken;
+			const prefill = Math.min(left, job.prefillLeft);
+			job.prefillLeft -= prefill;
+			left -= prefill;
 		}
 
 		const prefilled = this.#costs.prefillTokensPerStep - left;
@@ -133,7 +133,7 @@
 		return prefilled;
 	}
 
-	/** Memory ran out: the newest of the lowest priority goes back to the queue and is computed again. */
+	/** If memory is exceeded, moves the newest jobs of the lowest priority back to the queue, to be computed again. */
 	#evict(): void {
 		while (this.running.size > 1 && this.#usedTokens() > this.#costs.memoryTokens) {
 			const lowest = Math.max(...[...this.running].map(job => job.priority));
--- a/fakes/engine/engine.ts
+++ b/fakes/engine/engine.ts
@@ -20,13 +20,13 @@
 	readonly checksFences?: boolean;
 };
 
-/** Timers have a grain of a millisecond: shorter pauses are saved up. */
+/** Timers have a resolution of a millisecond: shorter pauses are accumulated. */
 const shortestPauseMilliseconds = 1;
-/** An engine that fell so far behind its own clock goes on from now in place of catching up. */
+/** An engine that is further behind its step schedule than this skips the missed time instead of catching up. */
 const furthestBehindMilliseconds = 50;
 const frozenPollMilliseconds = 5;
 
-/** A stand-in of a model engine: OpenAI-compatible, with continuous batching and faults on demand. */
+/** A stand-in for a model engine: OpenAI-compatible, with continuous batching and fault injection. */
 export class FakeEngine implements AsyncDisposable {
 	static async create(settings: FakeEngineSettings = {}): Promise<FakeEngine> {
 		const engine = new FakeEngine(settings);
@@ -37,30 +37,30 @@
 			handle: exchange => engine.#handle(exchange),
 			counts: () => engine.counts(),
 		});
-		void spawn('fake engine', () => engine.#work());
+		void spawn('fake engine', () => engine.#run());
 		return engine;
 	}
 
 	readonly faults: EngineFaults;
-	/** The truth of tests: how often each request id and each key was taken in to be run. */
+	/** How often each request id and each key was accepted to be run. Tests rely on these counts. */
 	readonly runsByRequest = new Map<string, number>();
 	readonly runsByKey = new Map<string, number>();
-	/** How often each prompt was taken in from its first token: covers callers that learn no request id. */
+	/** How often each prompt was accepted without a resume, for callers that do not learn the request id. */
 	readonly runsByPrompt = new Map<string, number>();
-	/** How often each poison prompt took this engine down. */
+	/** How often each poison prompt crashed this engine. */
 	readonly crashesByPrompt = new Map<string, number>();
 	readonly loaded: LoadedState;
 	tokensProduced = 0;
-	/** Tokens of answers that were cut before their end. */
+	/** Tokens of responses that were interrupted before their end. */
 	tokensDiscarded = 0;
 	crashes = 0;
-	/** Resumed requests whose text was not what this engine would have written. */
+	/** Resumed requests whose text differs from what this engine would have written. */
 	resumeMismatches = 0;
 	readonly #streams = new Map<Job, AnswerStream>();
 	readonly #batch: Batch;
 	readonly #report = LoadReport.create();
 	readonly #wake = channel<true>(1);
-	readonly #earlier: EarlierEvent = {text: undefined};
+	readonly #lastEvent: EarlierEvent = {text: undefined};
 	#server: FakeServer<EngineFaults> | undefined;
 	#disposed = false;
 
@@ -96,7 +96,7 @@
 		};
 	}
 
-	/** Cuts every stream, forgets everything and refuses connections, until `start` or the told time. */
+	/** Breaks every stream, drops all state and refuses connections, until `start` or `restartMilliseconds` later. */
 	async crash(): Promise<void> {
 		this.crashes++;
 		this.faults.crashAfterTokens = 0;
@@ -142,7 +142,7 @@
 			}
 
 			case 'GET /load': {
-				replyJson(response, 200, this.faults.wrongLoad ?? this.#report.shown(this.faults.loadLagMilliseconds, performance.now()));
+				replyJson(response, 200, this.faults.wrongLoad ?? this.#report.loadAt(this.faults.loadLagMilliseconds, performance.now()));
 				return;
 			}
 
@@ -260,23 +260,23 @@
 		this.#batch.clear();
 	}
 
-	/** The engine's clock: one step after another, as long as there is something to do. */
-	* #work(): Body<void> {
-		let due = performance.now();
+	/** The engine's main loop: runs steps while there are jobs, otherwise waits for one. */
+	* #run(): Body<void> {
+		let nextStepAt = performance.now();
 		while (!this.#disposed) {
 			if (this.#batch.isIdle || this.faults.frozen) {
 				yield * (this.faults.frozen ? receiveWithin(this.#wake, frozenPollMilliseconds) : receive(this.#wake));
-				due = performance.now();
+				nextStepAt = performance.now();
 				continue;
 			}
 
 			const step = this.#batch.step();
-			due = Math.max(due, performance.now() - furthestBehindMilliseconds) + (step.milliseconds * this.faults.slowFactor);
+			nextStepAt = Math.max(nextStepAt, performance.now() - furthestBehindMilliseconds) + (step.milliseconds * this.faults.slowFactor);
 			this.#produce(step.produced);
 			this.#report.record({
 				running: this.#batch.running.size, waiting: this.#batch.waiting.length, memoryUsed: this.#batch.memoryUsed, stepMilliseconds: step.milliseconds * this.faults.slowFactor,
 			}, performance.now());
-			const pause = due - performance.now();
+			const pause = nextStepAt - performance.now();
 			if (pause >= shortestPauseMilliseconds || this.#batch.isIdle) {
 				yield * sleep(Math.max(0, pause));
 				this.#flush();
@@ -293,8 +293,8 @@
 
 			this.tokensProduced++;
 			stream.produced++;
-			writeToken(stream, this.#streams.values(), this.faults, this.#earlier);
-			this.#endIfDue(stream);
+			writeToken(stream, this.#streams.values(), this.faults, this.#lastEvent);
+			this.#endOrTruncate(stream);
 			if (this.faults.crashAfterTokens > 0 && --this.faults.crashAfterTokens === 0) {
 				this.#flush();
 				void this.crash();
@@ -303,7 +303,7 @@
 		}
 	}
 
-	#endIfDue(stream: AnswerStream): void {
+	#endOrTruncate(stream: AnswerStream): void {
 		const isHalfWay = stream.job.next * 2 >= stream.job.task.length;
 		if (this.faults.truncateStreams > 0 && isHalfWay && !stream.isComplete) {
 			this.faults.truncateStreams--;
--- a/fakes/engine/load-report.ts
+++ b/fakes/engine/load-report.ts
@@ -3,7 +3,7 @@
 const recordEveryMilliseconds = 10;
 const keptRecords = 1000;
 
-/** An engine's load as it was some time ago. */
+/** A history of an engine's load, to report it with a lag. */
 export class LoadReport {
 	static create(): LoadReport {
 		return new LoadReport();
@@ -12,7 +12,7 @@
 	readonly #history: Array<{readonly time: number; readonly load: Load}> = [{time: 0, load: {running: 0, waiting: 0, memoryUsed: 0, stepMilliseconds: 0}}];
 
 	private constructor() {
-		// Made by `create` alone.
+		// Instances are made by `create`.
 	}
 
 	record(load: Load, now: number): void {
@@ -27,7 +27,7 @@
 		}
 	}
 
-	shown(lagMilliseconds: number, now: number): Load {
+	loadAt(lagMilliseconds: number, now: number): Load {
 		const record = this.#history.findLast(candidate => candidate.time <= now - lagMilliseconds) ?? this.#history[0]!;
 		return record.load;
 	}
--- a/fakes/engine/orders.ts
+++ b/fakes/engine/orders.ts
@@ -8,7 +8,7 @@
 });
 export type Order = z.infer<typeof orderSchema>;
 
-/** What an engine has loaded, and which orders it took. */
+/** The models and adapters that an engine has loaded, and the orders that it accepted. */
 export class LoadedState {
 	static create(models: readonly string[], checksFences: boolean): LoadedState {
 		return new LoadedState(models, checksFences);
@@ -19,7 +19,7 @@
 	role = 'serve';
 	/** The highest fencing number seen. */
 	fence = 0;
-	/** Every order that was taken, oldest first: the truth of tests. */
+	/** Every accepted order, oldest first, for tests. */
 	readonly taken: Order[] = [];
 	readonly #checksFences: boolean;
 
@@ -28,7 +28,7 @@
 		this.#checksFences = checksFences;
 	}
 
-	/** False: the order is older than one seen before, and this engine checks. */
+	/** Applies an order. Returns false if its fencing number is lower than one seen before and this engine checks it. */
 	take(order: Order): boolean {
 		if (this.#checksFences && order.fence < this.fence) {
 			return false;
@@ -54,7 +54,7 @@
 		}
 	}
 
-	/** What `GET /v1/models` shows. */
+	/** Returns the data of `GET /v1/models`. */
 	list(): ReadonlyArray<{id: string; object: 'model'; version: string}> {
 		return [...this.models].map(([id, version]) => ({id, object: 'model', version}));
 	}
--- a/fakes/engine/prefix-cache.ts
+++ b/fakes/engine/prefix-cache.ts
@@ -3,7 +3,7 @@
 const blockCharacters = 64;
 const blockTokens = 16;
 
-/** Which leading blocks of prompts an engine remembers: the least recently used go first. */
+/** The leading blocks of prompts that an engine has cached; evicts the least recently used first. */
 export class PrefixCache {
 	static create(capacityTokens: number): PrefixCache {
 		return new PrefixCache(Math.floor(capacityTokens / blockTokens));
@@ -16,28 +16,28 @@
 		this.#capacity = capacity;
 	}
 
-	/** How many leading tokens are remembered; remembers the whole prompt from now on. */
+	/** Returns how many leading tokens of the prompt are cached, and caches all its full blocks. */
 	use(prompt: string): number {
-		let known = 0;
+		let cachedTokens = 0;
 		let isPrefix = true;
-		let chained = 0;
+		let chainedHash = 0;
 		for (let start = 0; start + blockCharacters <= prompt.length; start += blockCharacters) {
-			chained = hash(prompt.slice(start, start + blockCharacters), chained);
-			isPrefix &&= this.#blocks.delete(chained);
-			known += isPrefix ? blockTokens : 0;
-			this.#blocks.delete(chained);
-			this.#blocks.add(chained);
+			chainedHash = hash(prompt.slice(start, start + blockCharacters), chainedHash);
+			isPrefix &&= this.#blocks.delete(chainedHash);
+			cachedTokens += isPrefix ? blockTokens : 0;
+			this.#blocks.delete(chainedHash);
+			this.#blocks.add(chainedHash);
 		}
 
-		this.#forget();
-		return known;
+		this.#evict();
+		return cachedTokens;
 	}
 
 	clear(): void {
 		this.#blocks.clear();
 	}
 
-	#forget(): void {
+	#evict(): void {
 		for (const block of this.#blocks) {
 			if (this.#blocks.size <= this.#capacity) {
 				return;
--- a/fakes/engine/stream.ts
+++ b/fakes/engine/stream.ts
@@ -3,7 +3,7 @@
 import {closingEvents, tokenEvent, type Protocol} from './events.js';
 import {type EngineFaults} from './faults.js';
 
-/** One request's answer on its way out: events are gathered and written once per wake-up. */
+/** The response stream of one request. Events are buffered and written once per wake-up of the engine. */
 export class AnswerStream {
 	static create(settings: {job: Job; protocol: Protocol; response: ServerResponse; first: number}): AnswerStream {
 		return new AnswerStream(settings);
@@ -12,7 +12,7 @@
 	readonly job: Job;
 	readonly protocol: Protocol;
 	readonly first: number;
-	/** Tokens produced for this answer. */
+	/** Tokens produced for this response. */
 	produced = 0;
 	readonly #response: ServerResponse;
 	#pending = '';
@@ -51,17 +51,17 @@
 		this.#response.end();
 	}
 
-	/** Ends the connection's answer cleanly, without the mark that it is whole. */
+	/** Ends the response cleanly without `[DONE]`. */
 	truncate(): void {
 		this.flush();
 		this.#response.end();
 	}
 }
 
-/** The event of a request that ended earlier, for the fault of a late answer. */
+/** The last event of a request that finished earlier, for `lateEvents`. */
 export type EarlierEvent = {text: string | undefined};
 
-/** Writes the token that the job produced last, with the faults that were told. */
+/** Writes the event of the job's newest token, with the faults applied. */
 export function writeToken(stream: AnswerStream, others: Iterable<AnswerStream>, faults: EngineFaults, earlier: EarlierEvent): void {
 	const {job, protocol} = stream;
 	const text = tokenEvent(protocol, job.id, job, job.next - 1);
--- a/fakes/index.ts
+++ b/fakes/index.ts
@@ -1,4 +1,4 @@
-/** Stand-ins of what surrounds the product, for development and tests. Product code never imports them. */
+/** Stand-ins for the systems around the product, for development and tests. Product code never imports them. */
 export * from './engine/index.js';
 export {FakeLog, type LogFaults} from './log.js';
 export {FakeMembers, type MembersFaults} from './members.js';
--- a/fakes/log.ts
+++ b/fakes/log.ts
@@ -4,15 +4,15 @@
 	FakeServer, readJson, replyError, replyJson, serverFaultShape, type Exchange,
 } from './server.js';
 
-/** Zero means no limit; counts say how many of the next appends show the fault. */
+/** Zero means no limit; counts say how many of the next appends get the fault. */
 export const logFaultsSchema = z.strictObject({
 	...serverFaultShape,
 	appendsPerSecond: z.number().nonnegative().default(0),
 	retainRecords: z.number().int().nonnegative().default(0),
 	retainMilliseconds: z.number().nonnegative().default(0),
-	/** Keeps the record and cuts the connection in place of an answer. */
+	/** Stores the record, then resets the connection without a response. */
 	loseAnswers: z.number().int().nonnegative().default(0),
-	/** Keeps the record twice and answers with the first offset. */
+	/** Stores the record twice and responds with the first offset. */
 	duplicateAppends: z.number().int().nonnegative().default(0),
 });
 export type LogFaults = z.infer<typeof logFaultsSchema>;
@@ -23,7 +23,7 @@
 
 type Stream = {records: LogRecord[]; next: number; readonly waiting: Set<() => void>};
 
-/** A stand-in of the platform's append-only log, in memory. */
+/** An in-memory stand-in for the platform's append-only log. */
 export class FakeLog implements AsyncDisposable {
 	static async create(settings: {port?: number; faults?: Partial<LogFaults>} = {}): Promise<FakeLog> {
 		const log = new FakeLog(logFaultsSchema.parse(settings.faults ?? {}));
@@ -37,7 +37,7 @@
 	}
 
 	readonly faults: LogFaults;
-	/** Appends that were kept, over all streams; a duplicate counts once. */
+	/** Stored appends over all streams; a duplicate counts once. */
 	appends = 0;
 	reads = 0;
 	readonly #streams = new Map<string, Stream>();
@@ -52,7 +52,7 @@
 		return this.#server!.url;
 	}
 
-	/** Refuses connections until `start`. */
+	/** Breaks all connections and refuses new ones until `start`. */
 	async stop(): Promise<void> {
 		await this.#server!.stop();
 	}
@@ -61,12 +61,12 @@
 		await this.#server!.start();
 	}
 
-	/** What the stream still holds. */
+	/** Returns the records that the stream still retains. */
 	records(name: string): readonly LogRecord[] {
 		return this.#retained(this.#stream(name)).records;
 	}
 
-	/** Appends without HTTP and without faults. */
+	/** Appends directly, without HTTP and without faults, and returns the offset. */
 	put(name: string, value: unknown): number {
 		const stream = this.#stream(name);
 		const offset = stream.next;
@@ -156,16 +156,16 @@
 			return known;
 		}
 
-		const made: Stream = {records: [], next: 0, waiting: new Set()};
-		this.#streams.set(name, made);
-		return made;
+		const created: Stream = {records: [], next: 0, waiting: new Set()};
+		this.#streams.set(name, created);
+		return created;
 	}
 
 	#retained(stream: Stream): Stream {
 		const {retainRecords, retainMilliseconds} = this.faults;
-		const oldest = retainMilliseconds === 0 ? 0 : Date.now() - retainMilliseconds;
-		const kept = stream.records.filter(record => record.time >= oldest);
-		stream.records = retainRecords === 0 ? kept : kept.slice(-retainRecords);
+		const oldestTime = retainMilliseconds === 0 ? 0 : Date.now() - retainMilliseconds;
+		const recent = stream.records.filter(record => record.time >= oldestTime);
+		stream.records = retainRecords === 0 ? recent : recent.slice(-retainRecords);
 		return stream;
 	}
 }
--- a/fakes/members.ts
+++ b/fakes/members.ts
@@ -7,18 +7,18 @@
 
 export const membersFaultsSchema = z.strictObject({
 	...serverFaultShape,
-	/** The list is shown as it was so long ago. */
+	/** The list is returned as it was this long ago. */
 	lagMilliseconds: z.number().nonnegative().default(0),
-	/** Instances that are there and not shown. */
+	/** Instances that exist but are left out of the list. */
 	hidden: z.array(z.string()).default([]),
-	/** Lines that are shown though nothing stands behind them. */
+	/** Members in the list that do not exist. */
 	phantoms: z.array(memberSchema).default([]),
 });
 export type MembersFaults = z.infer<typeof membersFaultsSchema>;
 
 type Version = {readonly since: number; readonly members: ReadonlyMap<string, Member>};
 
-/** A stand-in of the platform's membership list; whoever starts instances tells it. */
+/** A stand-in for the platform's membership list. The code that starts instances registers them here. */
 export class FakeMembers implements AsyncDisposable {
 	static async create(settings: {port?: number; faults?: Partial<MembersFaults>} = {}): Promise<FakeMembers> {
 		const members = new FakeMembers(membersFaultsSchema.parse(settings.faults ?? {}));
@@ -32,7 +32,7 @@
 	}
 
 	readonly faults: MembersFaults;
-	/** Every list that was ever true, oldest first; it stays small in a test's lifetime. */
+	/** All versions of the list, oldest first. Never pruned, since few accumulate during a test. */
 	readonly #versions: Version[] = [{since: 0, members: new Map()}];
 	#server: FakeServer<MembersFaults> | undefined;
 
@@ -44,7 +44,7 @@
 		return this.#server!.url;
 	}
 
-	/** Adds a member, or puts its new state in place of the old. */
+	/** Adds a member or replaces its state. */
 	set(member: Member): void {
 		this.#change(members => members.set(member.instance, member));
 	}
@@ -53,12 +53,12 @@
 		this.#change(members => members.delete(instance));
 	}
 
-	/** The list as the faults have it shown now. */
-	shown(): readonly Member[] {
+	/** Returns the list as it appears now, with the faults applied. */
+	visibleMembers(): readonly Member[] {
 		const moment = Date.now() - this.faults.lagMilliseconds;
 		const version = this.#versions.findLast(candidate => candidate.since <= moment) ?? this.#versions[0]!;
-		const visible = [...version.members.values()].filter(member => !this.faults.hidden.includes(member.instance));
-		return [...visible, ...this.faults.phantoms];
+		const listed = [...version.members.values()].filter(member => !this.faults.hidden.includes(member.instance));
+		return [...listed, ...this.faults.phantoms];
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
@@ -84,7 +84,7 @@
 			this.remove(instance);
 		}
 
-		const members = this.shown();
+		const members = this.visibleMembers();
 		const etag = `"${createHash('sha256').update(JSON.stringify(members)).digest('hex').slice(0, 16)}"`;
 		if (request.headers['if-none-match'] === etag) {
 			response.writeHead(304, {etag});
--- a/fakes/network-path.ts
+++ b/fakes/network-path.ts
@@ -1,16 +1,16 @@
 import {once} from 'node:events';
 import {connect, createServer, type AddressInfo, type Server, type Socket} from 'node:net';
 
-/** What a path between two processes does to the bytes on it. */
+/** Faults of a network path between two processes. */
 export type PathFaults = {
-	/** Nothing passes, nobody is told: a cut between zones, or a half-open connection. */
+	/** Bytes and closes are held back without an error, as in a partition between zones or a half-open connection. */
 	silent: boolean;
-	/** New connections are refused by closing them at once. */
+	/** New connections are closed immediately. */
 	refusing: boolean;
 	delayMilliseconds: number;
 };
 
-/** A TCP path to `target`, IP number and port, that can be cut, silenced and slowed. */
+/** A TCP proxy to `target` (IP address and port) that can break, hold back and delay its connections. */
 export class FakePath implements AsyncDisposable {
 	static async create(target: string): Promise<FakePath> {
 		const path = new FakePath(target);
@@ -29,7 +29,7 @@
 		const separator = target.lastIndexOf(':');
 		this.#target = {host: target.slice(0, separator), port: Number(target.slice(separator + 1))};
 		this.#server = createServer(socket => {
-			this.#join(socket);
+			this.#accept(socket);
 		});
 	}
 
@@ -37,19 +37,19 @@
 		return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
 	}
 
-	/** Breaks every connection; both ends are told. */
+	/** Closes every connection; both ends see the close. */
 	cut(): void {
 		for (const socket of this.#sockets) {
 			socket.destroy();
 		}
 	}
 
-	/** Ends a silence: what was held passes, in order. */
+	/** Ends `silent` and `refusing`; what was held back is delivered in order. */
 	heal(): void {
 		this.faults.silent = false;
 		this.faults.refusing = false;
-		for (const pass of this.#held.splice(0)) {
-			pass();
+		for (const deliver of this.#held.splice(0)) {
+			deliver();
 		}
 	}
 
@@ -62,22 +62,22 @@
 		});
 	}
 
-	#join(near: Socket): void {
+	#accept(incoming: Socket): void {
 		if (this.faults.refusing) {
-			near.destroy();
+			incoming.destroy();
 			return;
 		}
 
-		const far = connect(this.#target);
-		this.#carry(near, far);
-		this.#carry(far, near);
+		const outgoing = connect(this.#target);
+		this.#forward(incoming, outgoing);
+		this.#forward(outgoing, incoming);
 	}
 
-	#carry(from: Socket, to: Socket): void {
+	#forward(from: Socket, to: Socket): void {
 		this.#sockets.add(from);
 		from.setNoDelay(true);
 		from.on('data', (bytes: Uint8Array) => {
-			this.#pass(() => {
+			this.#deliver(() => {
 				if (!to.destroyed && !to.write(bytes)) {
 					from.pause();
 				}
@@ -87,18 +87,18 @@
 			from.resume();
 		});
 		from.on('error', () => {
-			// The close that follows tells the other end.
+			// The 'close' event that follows closes the other end.
 		});
 		from.on('close', () => {
 			this.#sockets.delete(from);
-			this.#pass(() => {
+			this.#deliver(() => {
 				to.destroy();
 			});
 		});
 	}
 
-	/** Passes now, later or once the silence ends; a delay is the same for all, so the order stays. */
-	#pass(action: () => void): void {
+	/** Delivers now, after the delay or once `silent` ends. The delay is the same for all actions, which keeps their order. */
+	#deliver(action: () => void): void {
 		if (this.faults.silent) {
 			this.#held.push(action);
 			return;
--- a/fakes/platform-state.ts
+++ b/fakes/platform-state.ts
@@ -1,6 +1,6 @@
 const route = {host: 'studio.example', timeoutMs: 1500, targetLatencyMs: 100, priority: 1, maxAttempts: 2, public: false, sticky: false, resumable: false};
 
-/** A desired state with one route of each kind. */
+/** A desired state (the operator's routing table) with a safe, an unsafe, a resumable and a plain streaming route. */
 export function desiredState(version: number, more: Readonly<Record<string, unknown>> = {}): Record<string, unknown> {
 	return {
 		version,
--- a/fakes/platform-store.ts
+++ b/fakes/platform-store.ts
@@ -3,10 +3,10 @@
 import {createServer, type IncomingMessage, type Server, type ServerResponse} from 'node:http';
 import {type AddressInfo} from 'node:net';
 
-/** What the stand-in does to a call instead of answering it. */
+/** A fault of one call. `lose-answer` executes the call and closes the connection; `late` delays the response. */
 export type StoreFault = 'refuse' | 'reset' | 'silent' | 'late' | 'lose-answer';
 
-/** Chooses a fault for a call by its path and the caller's address. */
+/** Chooses a fault for a call by its path and its Host header. */
 export type ChooseFault = (path: string, caller: string) => StoreFault | undefined;
 
 const noFault: ChooseFault = () => undefined;
@@ -15,14 +15,14 @@
 type Topic = {records: Stored[]; first: number; waiting: Set<() => void>};
 type Newest = Map<string, {value: Uint8Array; offset: number}>;
 
-/** What the store held at one moment. */
+/** A backup of the store's contents. */
 export type StoreCopy = {readonly topics: ReadonlyMap<string, {readonly records: readonly Stored[]; readonly first: number}>; readonly newestBefore: ReadonlyMap<string, Newest>};
 
 const lateMilliseconds = 1500;
 
 /**
- * A stand-in for the platform's log store, as far as gateways use it: topics of keys with one
- * partition, long reads, the newest record of each key, lost history, coming back from a copy, and faults to be told to show.
+ * A stand-in for the platform's log store, as far as gateways use it: keyed topics with one partition,
+ * long polls, the newest record of each key, dropped history, restoring from a backup, and injected faults.
  */
 export class FakePlatformStore implements AsyncDisposable {
 	static async create(): Promise<FakePlatformStore> {
@@ -34,8 +34,9 @@
 
 	fault: ChooseFault = noFault;
 	calls = 0;
-	/** How often it has come back from a copy, and one; what each answer says of it, where that isn't the truth. */
+	/** The store's generation number: 1, and one more after each restore from a backup. */
 	era = 1;
+	/** The era that responses report, if not the real one; undefined omits the header. */
 	saysEra: (era: number) => string | undefined = String;
 	readonly #topics = new Map<string, Topic>();
 	readonly #server: Server = createServer((request, response) => {
@@ -48,23 +49,23 @@
 		return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
 	}
 
-	/** Writes a record as the operator or a worker does; without a value the key is dropped. */
+	/** Appends a record as the operator or a worker does and returns its offset; without a value it deletes the key. */
 	put(topic: string, key: string, value?: unknown): number {
-		const held = this.#topic(topic);
-		held.records.push({key, value: value === undefined ? new Uint8Array() : Buffer.from(JSON.stringify(value))});
-		for (const wake of held.waiting) {
+		const topicState = this.#topic(topic);
+		topicState.records.push({key, value: value === undefined ? new Uint8Array() : Buffer.from(JSON.stringify(value))});
+		for (const wake of topicState.waiting) {
 			wake();
 		}
 
-		return held.first + held.records.length - 1;
+		return topicState.first + topicState.records.length - 1;
 	}
 
-	/** Drops the records of a topic; the newest of each key stays readable as such. */
+	/** Drops the records of a topic; the newest record of each key can still be read. */
 	forget(topic: string): void {
-		const held = this.#topic(topic);
+		const topicState = this.#topic(topic);
 		this.#newestBefore.set(topic, this.#newest(topic));
-		held.first += held.records.length;
-		held.records = [];
+		topicState.first += topicState.records.length;
+		topicState.records = [];
 	}
 
 	copy(): StoreCopy {
@@ -74,13 +75,13 @@
 		};
 	}
 
-	/** Goes back to a copy: what was written since is gone, its offsets are given out again, and every connection ends. */
+	/** Restores a backup: later records are lost, their offsets are assigned again, and every connection is closed. */
 	comeBackFrom({topics, newestBefore}: StoreCopy): void {
 		this.era += 1;
-		for (const [name, held] of this.#topics) {
-			const copied = topics.get(name);
-			held.records = [...copied?.records ?? []];
-			held.first = copied?.first ?? 0;
+		for (const [name, topicState] of this.#topics) {
+			const backup = topics.get(name);
+			topicState.records = [...backup?.records ?? []];
+			topicState.first = backup?.first ?? 0;
 			this.#newestBefore.set(name, new Map(newestBefore.get(name)));
 		}
 
@@ -97,9 +98,9 @@
 	}
 
 	#topic(name: string): Topic {
-		const held = this.#topics.get(name) ?? {records: [], first: 0, waiting: new Set<() => void>()};
-		this.#topics.set(name, held);
-		return held;
+		const topicState = this.#topics.get(name) ?? {records: [], first: 0, waiting: new Set<() => void>()};
+		this.#topics.set(name, topicState);
+		return topicState;
 	}
 
 	#newest(name: string): Newest {
@@ -157,17 +158,17 @@
 	}
 
 	async #handle(url: URL, body: Uint8Array, response: ServerResponse | undefined): Promise<void> {
-		const said = this.saysEra(this.era);
-		if (said !== undefined) {
-			response?.setHeader('Store-Era', said);
+		const reportedEra = this.saysEra(this.era);
+		if (reportedEra !== undefined) {
+			response?.setHeader('Store-Era', reportedEra);
 		}
 
 		const topic = url.searchParams.get('topic') ?? '';
 		switch (url.pathname) {
 			case '/v1/log-newest': {
-				const held = this.#topic(topic);
+				const topicState = this.#topic(topic);
 				const items = [...this.#newest(topic)].map(([key, {value, offset}]) => ({key, value: Buffer.from(value).toString('base64'), offset}));
-				response?.end(JSON.stringify({items, more: false, end: held.first + held.records.length}));
+				response?.end(JSON.stringify({items, more: false, end: topicState.first + topicState.records.length}));
 				return;
 			}
 
@@ -192,37 +193,37 @@
 	}
 
 	async #read(url: URL, response: ServerResponse | undefined): Promise<void> {
-		const held = this.#topic(url.searchParams.get('topic') ?? '');
+		const topicState = this.#topic(url.searchParams.get('topic') ?? '');
 		const from = Number(url.searchParams.get('from'));
-		if (from < held.first || from > held.first + held.records.length) {
-			response?.writeHead(410).end(JSON.stringify({first: held.first}));
+		if (from < topicState.first || from > topicState.first + topicState.records.length) {
+			response?.writeHead(410).end(JSON.stringify({first: topicState.first}));
 			return;
 		}
 
-		if (from >= held.first + held.records.length) {
-			await wakeWithin(held.waiting, wholeNumber(url.searchParams.get('waitMs')));
+		if (from >= topicState.first + topicState.records.length) {
+			await waitForRecord(topicState.waiting, parseInteger(url.searchParams.get('waitMs')));
 		}
 
 		const offsets = Buffer.alloc(16);
-		offsets.writeBigUInt64BE(BigInt(held.first + held.records.length), 0);
-		offsets.writeBigUInt64BE(BigInt(held.first), 8);
-		response?.end(Buffer.concat([offsets, ...held.records.slice(Math.max(0, from - held.first)).map(record => framed(record))]));
+		offsets.writeBigUInt64BE(BigInt(topicState.first + topicState.records.length), 0);
+		offsets.writeBigUInt64BE(BigInt(topicState.first), 8);
+		response?.end(Buffer.concat([offsets, ...topicState.records.slice(Math.max(0, from - topicState.first)).map(record => frameRecord(record))]));
 	}
 }
 
-function framed({key, value}: Stored): Uint8Array {
+function frameRecord({key, value}: Stored): Uint8Array {
 	const content = Buffer.concat([Buffer.from([Buffer.byteLength(key)]), Buffer.from(key), value]);
 	const length = Buffer.alloc(4);
 	length.writeUInt32BE(content.length);
 	return Buffer.concat([length, content]);
 }
 
-/** A wait that is no whole number is none, as at the platform's store. */
-function wholeNumber(text: string | null): number { // eslint-disable-line @typescript-eslint/no-restricted-types -- what a missing query is
+/** Returns 0 for a wait that is not an integer, as the platform's store does. */
+function parseInteger(text: string | null): number { // eslint-disable-line @typescript-eslint/no-restricted-types -- URLSearchParams.get() returns null
 	return text !== null && /^\d+$/v.test(text) ? Number(text) : 0;
 }
 
-async function wakeWithin(waiting: Set<() => void>, milliseconds: number): Promise<void> {
+async function waitForRecord(waiting: Set<() => void>, milliseconds: number): Promise<void> {
 	if (milliseconds === 0) {
 		return;
 	}
--- a/fakes/platform-worker.ts
+++ b/fakes/platform-worker.ts
@@ -2,24 +2,24 @@
 import {createServer, type IncomingMessage, type Server, type ServerResponse} from 'node:http';
 import {type AddressInfo} from 'node:net';
 
-/** How a worker answers one request. */
+/** How a worker responds to one request. */
 export type WorkerAnswer
 	= | {readonly type: 'whole'; readonly status?: number; readonly body: string; readonly headers?: Readonly<Record<string, string>>; readonly afterMilliseconds?: number}
-	/** Events numbered from `first`; cut after `cutAfter` of them, in the middle of the next one. */
+	/** Events numbered after `Last-Event-Id`; the connection is closed after event `cutAfter`, in the middle of the next one. */
 		| {readonly type: 'events'; readonly count: number; readonly gapMilliseconds?: number; readonly cutAfter?: number; readonly firstAfterMilliseconds?: number}
 		| {readonly type: 'not-run'}
 		| {readonly type: 'silent'}
 		| {readonly type: 'reset'};
 
-/** A request as it came to a worker. */
+/** A request as a worker received it. */
 export type WorkerRequest = {readonly id: string; readonly method: string; readonly path: string; readonly headers: IncomingMessage['headers']; readonly body: string; wasRun: boolean};
 
-/** Chooses how a request is answered. */
+/** Chooses the response to a request. */
 export type ChooseAnswer = (request: WorkerRequest) => WorkerAnswer;
 
-const plainAnswer: ChooseAnswer = () => ({type: 'whole', body: 'ok'});
+const defaultAnswer: ChooseAnswer = () => ({type: 'whole', body: 'ok'});
 
-/** A stand-in for a worker of the platform: it answers as it is told, and remembers what came. */
+/** A stand-in for a worker of the platform with configurable responses; it records the requests that it receives. */
 export class FakePlatformWorker implements AsyncDisposable {
 	static async create(id: string, service: string): Promise<FakePlatformWorker> {
 		const worker = new FakePlatformWorker(id, service);
@@ -28,15 +28,15 @@
 		return worker;
 	}
 
-	answer: ChooseAnswer = plainAnswer;
-	/** Prompt parts that it says it keeps, as ids and tokens; without them it has no such list. */
+	answer: ChooseAnswer = defaultAnswer;
+	/** Cached prompt parts that it reports, as ids and token counts; if undefined, it answers 404 to requests for the list. */
 	kept: ReadonlyArray<readonly [string, number]> | undefined;
-	/** How often it was asked for them. */
+	/** Number of requests for the list of cached prompt parts. */
 	listings = 0;
 	readonly id: string;
 	readonly service: string;
 	readonly requests: WorkerRequest[] = [];
-	/** Ids of requests whose connection closed before their answer was out. */
+	/** Ids of requests whose connection closed before the response was sent. */
 	readonly abandoned: string[] = [];
 	readonly #server: Server = createServer((request, response) => {
 		void this.#take(request, response);
@@ -47,7 +47,7 @@
 		this.service = service;
 	}
 
-	/** What it registers under its id. */
+	/** Returns the registration that it would write to the store under its id as a heartbeat. */
 	beat(more: Readonly<Record<string, unknown>> = {}): Record<string, unknown> {
 		return {service: this.service, address: this.address, zone: 'zone-a', version: 'v1', slots: 16, state: 'ready', seq: 1, ...more};
 	}
@@ -79,29 +79,29 @@
 			return;
 		}
 
-		const taken = {id, method: request.method ?? '', path: request.url ?? '', headers: request.headers, body, wasRun: false};
-		this.requests.push(taken);
+		const received = {id, method: request.method ?? '', path: request.url ?? '', headers: request.headers, body, wasRun: false};
+		this.requests.push(received);
 		response.once('close', () => {
 			if (!response.writableFinished) {
 				this.abandoned.push(id);
 			}
 		});
-		await this.#answer(taken, response);
+		await this.#answer(received, response);
 	}
 
 	async #answer(request: WorkerRequest, response: ServerResponse): Promise<void> {
 		const answer = this.answer(request);
 		request.wasRun = answer.type !== 'not-run';
-		const signed = {'Request-Id': request.id, 'Upstream-Signature': `${this.id}.1`};
+		const signatureHeaders = {'Request-Id': request.id, 'Upstream-Signature': `${this.id}.1`};
 		switch (answer.type) {
 			case 'whole': {
 				await sleep(answer.afterMilliseconds ?? 0);
-				response.writeHead(answer.status ?? 200, {...signed, ...answer.headers}).end(answer.body);
+				response.writeHead(answer.status ?? 200, {...signatureHeaders, ...answer.headers}).end(answer.body);
 				return;
 			}
 
 			case 'events': {
-				response.writeHead(200, {...signed, 'Content-Type': 'text/event-stream'});
+				response.writeHead(200, {...signatureHeaders, 'Content-Type': 'text/event-stream'});
 				await sendEvents(response, answer, {requestId: request.id, after: Number(request.headers['last-event-id'] ?? 0)});
 				return;
 			}
--- a/fakes/server.ts
+++ b/fakes/server.ts
@@ -4,7 +4,7 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import {z} from 'zod';
 
-/** Faults that every fake can show: `reset` cuts each call, `hang` never answers, `error` says 503. */
+/** Faults that every fake supports: `reset` resets the connection of each call, `hang` never responds, `error` responds with 503. */
 export const serverFaultShape = {
 	mode: z.enum(['up', 'reset', 'hang', 'error']).default('up'),
 	delayMilliseconds: z.number().nonnegative().default(0),
@@ -12,7 +12,7 @@
 
 export type ServerFaults = {mode: 'up' | 'reset' | 'hang' | 'error'; delayMilliseconds: number};
 
-/** One call, with its path split at the slashes and decoded. */
+/** One HTTP call, with its path split at slashes and decoded. */
 export type Exchange = {
 	readonly method: string;
 	readonly path: readonly string[];
@@ -24,14 +24,14 @@
 export type FakeServerSettings<Faults extends ServerFaults> = {
 	readonly port: number;
 	readonly faults: Faults;
-	/** Reads faults told over HTTP: all of them, the new ones put over the present ones. */
+	/** Parses the complete set of faults after a change over HTTP. */
 	readonly parseFaults: (value: unknown) => Faults;
 	readonly handle: (exchange: Exchange) => Promise<void>;
-	/** What `GET /counts` shows. */
+	/** The response to `GET /counts`. */
 	readonly counts?: () => unknown;
 };
 
-/** The HTTP server under each fake: faults, `GET` and `POST /faults`, stop and start on one port. */
+/** The HTTP server of each fake: common faults, `GET` and `POST /faults`, stop and restart on the same port. */
 export class FakeServer<Faults extends ServerFaults> implements AsyncDisposable {
 	static async create<Faults extends ServerFaults>(settings: FakeServerSettings<Faults>): Promise<FakeServer<Faults>> {
 		const server = new FakeServer(settings);
@@ -60,7 +60,7 @@
 		return this.#server !== undefined;
 	}
 
-	/** Cuts every connection and refuses new ones, as a crash does. */
+	/** Resets every connection and refuses new ones, as a crash does. */
 	async stop(): Promise<void> {
 		const server = this.#server;
 		this.#server = undefined;
@@ -80,7 +80,7 @@
 		await closed;
 	}
 
-	/** Listens again on the port of before. */
+	/** Listens again on the same port. */
 	async start(): Promise<void> {
 		if (this.#server === undefined) {
 			await this.#listen(this.#port);
@@ -118,7 +118,7 @@
 		response.on('error', ignore);
 		request.on('error', ignore);
 		try {
-			if (!await this.#control(exchange) && await this.#pass(exchange)) {
+			if (!await this.#handleControl(exchange) && await this.#applyFaults(exchange)) {
 				await this.#settings.handle(exchange);
 			}
 		} catch (error) {
@@ -126,7 +126,7 @@
 		}
 	}
 
-	async #control({method, path, request, response}: Exchange): Promise<boolean> {
+	async #handleControl({method, path, request, response}: Exchange): Promise<boolean> {
 		if (path[0] === 'counts' && this.#settings.counts !== undefined) {
 			replyJson(response, 200, this.#settings.counts());
 			return true;
@@ -137,16 +137,16 @@
 		}
 
 		if (method === 'POST') {
-			const told = await readJson(request) as Record<string, unknown>;
-			Object.assign(this.#settings.faults, this.#settings.parseFaults({...this.#settings.faults, ...told}));
+			const changes = await readJson(request) as Record<string, unknown>;
+			Object.assign(this.#settings.faults, this.#settings.parseFaults({...this.#settings.faults, ...changes}));
 		}
 
 		replyJson(response, 200, this.#settings.faults);
 		return true;
 	}
 
-	/** True if the call may go on to the fake's own work. */
-	async #pass({request, response}: Exchange): Promise<boolean> {
+	/** Applies the common faults; true if the call should be handled. */
+	async #applyFaults({request, response}: Exchange): Promise<boolean> {
 		const {faults} = this.#settings;
 		if (faults.delayMilliseconds > 0) {
 			await delay(faults.delayMilliseconds);
@@ -175,7 +175,7 @@
 }
 
 function ignore(): void {
-	// The peer went away; the call's own handler sees it as a closed response.
+	// The peer disconnected; the call's handler sees it as a closed response.
 }
 
 export async function readBody(request: IncomingMessage): Promise<string> {
--- a/fakes/service.ts
+++ b/fakes/service.ts
@@ -10,15 +10,15 @@
 
 export const serviceFaultsSchema = z.strictObject({
 	...serverFaultShape,
-	/** How many of the next calls run and lose their answer. */
+	/** How many of the next calls run without a response being sent. */
 	loseAnswers: z.number().int().nonnegative().default(0),
-	/** How many of the next answers stop in the middle of the body. */
+	/** How many of the next responses end in the middle of the body. */
 	truncateAnswers: z.number().int().nonnegative().default(0),
 	/** How many of the next calls are refused with 429 before they run. */
 	refuseCalls: z.number().int().nonnegative().default(0),
-	/** A call whose body holds this text crashes the service; empty means none does. */
+	/** A call whose body contains this text crashes the service; empty means none does. */
 	poison: z.string().default(''),
-	/** After a crash the service comes back so much later; 0 means it stays down until `start`. */
+	/** Time from a crash to the restart; 0 means the service stays down until `start`. */
 	restartMilliseconds: z.number().nonnegative().default(0),
 	/** How long a ticket takes. */
 	workMilliseconds: z.number().nonnegative().default(0),
@@ -28,8 +28,8 @@
 const chunkBytes = 16 * 1024;
 
 /**
- * A stand-in of a plain service. `/echo` gives the body back, `/tickets` counts what it ran by
- * `Idempotency-Key` and `X-Request-Id`, `/bytes?count=N` streams a large answer.
+ * A stand-in for a plain service. `/echo` returns the body, `/tickets` counts what it ran by
+ * `Idempotency-Key` and `X-Request-Id`, `/bytes?count=N` streams a large response.
  */
 export class FakeService implements AsyncDisposable {
 	static async create(settings: {port?: number; faults?: Partial<ServiceFaults>} = {}): Promise<FakeService> {
@@ -47,10 +47,10 @@
 	}
 
 	readonly faults: ServiceFaults;
-	/** The truth of tests: how often each key and each request ran here. */
+	/** How often each key and each request id ran here. Tests rely on these counts. */
 	readonly runsByKey = new Map<string, number>();
 	readonly runsByRequest = new Map<string, number>();
-	/** How often a body ran, by its text: covers calls whose request id the caller never learns. */
+	/** How often each body ran, for calls whose request id the caller does not learn. */
 	readonly runsByBody = new Map<string, number>();
 	crashes = 0;
 	#tickets = 0;
@@ -64,7 +64,7 @@
 		return this.#server!.url;
 	}
 
-	/** Cuts every call and refuses connections. */
+	/** Breaks every connection and refuses new ones, until `start` or `restartMilliseconds` later. */
 	async crash(): Promise<void> {
 		this.crashes++;
 		await this.#server!.stop();
@@ -184,7 +184,7 @@
 async function streamBytes({query, response}: Exchange): Promise<void> {
 	const count = z.coerce.number().int().nonnegative().parse(query.get('count') ?? 0);
 	response.writeHead(200, {'content-type': 'application/octet-stream', 'content-length': count});
-	// A caller that leaves in the middle is no fault of the service.
+	// A caller may disconnect before the end.
 	await pipeline(Readable.from(blocks(count)), response).catch(() => undefined);
 }
 
--- a/fakes/weights.ts
+++ b/fakes/weights.ts
@@ -6,7 +6,7 @@
 
 export const weightsFaultsSchema = z.strictObject({
 	...serverFaultShape,
-	/** How many fetches run at once before the store paces. */
+	/** How many fetches may run concurrently; further ones get 429. */
 	fetchesAtOnce: z.number().int().positive().default(2),
 	retryAfterSeconds: z.number().positive().default(1),
 	fetchMilliseconds: z.number().nonnegative().default(10),
@@ -15,7 +15,7 @@
 
 const modelBytes = 16_000_000_000;
 
-/** A stand-in of the platform's weight store: rate-limited, and slow if told so. */
+/** A stand-in for the platform's weight store, with a concurrency limit and a configurable fetch time. */
 export class FakeWeights implements AsyncDisposable {
 	static async create(settings: {port?: number; faults?: Partial<WeightsFaults>} = {}): Promise<FakeWeights> {
 		const weights = new FakeWeights(weightsFaultsSchema.parse(settings.faults ?? {}));
@@ -29,7 +29,7 @@
 	}
 
 	readonly faults: WeightsFaults;
-	/** Fetches that ended whole, as MODEL/VERSION. */
+	/** Completed fetches, as MODEL/VERSION. */
 	readonly fetched: string[] = [];
 	#running = 0;
 	#server: FakeServer<WeightsFaults> | undefined;
--- a/test/fakes/batch.test.ts
+++ b/test/fakes/batch.test.ts
@@ -6,7 +6,7 @@
 	return {id, task: readTask(JSON.stringify({model: 'm', prompt})), priority, next: 0, prefillLeft: 0};
 }
 
-tap.test('a step takes longer with a larger batch and with more prompt to take in', async t => {
+tap.test('a step takes longer with a larger batch and with more prompt tokens to prefill', async t => {
 	const batch = Batch.create(defaultCosts);
 	batch.add(job('a', 'short [[tokens=9]]'));
 	const alone = batch.step().milliseconds;
@@ -16,10 +16,10 @@
 
 	const crowded = batch.step();
 	t.ok(crowded.milliseconds > alone);
-	t.ok(crowded.produced.length < 21, 'prompts are taken in over several steps');
+	t.ok(crowded.produced.length < 21, 'prompts are prefilled over several steps');
 });
 
-tap.test('a prompt prefix that the engine remembers costs nothing', async t => {
+tap.test('a cached prompt prefix is not prefilled again', async t => {
 	const batch = Batch.create(defaultCosts);
 	const prefix = 'menu '.repeat(200);
 	batch.add(job('a', `${prefix}one [[tokens=1]]`));
--- a/test/fakes/engine.test.ts
+++ b/test/fakes/engine.test.ts
@@ -21,19 +21,19 @@
 }
 
 async function textOf(response: Promise<Response>): Promise<string> {
-	const answered = await response;
-	return answered.text();
+	const received = await response;
+	return received.text();
 }
 
 async function statusOf(response: Promise<Response>): Promise<number> {
-	const answered = await response;
-	await answered.text();
-	return answered.status;
+	const received = await response;
+	await received.text();
+	return received.status;
 }
 
 const fast = {stepMilliseconds: 0.2, stepMillisecondsPerRequest: 0};
 
-tap.test('a whole answer is the one that the body asks for, numbered from 0', async t => {
+tap.test('a complete response has the text expected for its body, with tokens numbered from 0', async t => {
 	await using engine = await FakeEngine.create({costs: fast});
 	const body = chat('hello [[tokens=40]]');
 	const text = await textOf(post(engine, body, {'x-request-id': 'r1', 'idempotency-key': 'k1'}));
@@ -47,7 +47,7 @@
 	t.equal(engine.tokensProduced, 40);
 });
 
-tap.test('a resumed answer goes on with the next token and the same text', async t => {
+tap.test('a resumed response continues with the next token of the same text', async t => {
 	await using engine = await FakeEngine.create({costs: fast});
 	const body = chat('resume me [[tokens=20]]');
 	const whole = expectedAnswer(JSON.stringify(body));
@@ -58,7 +58,7 @@
 	t.equal(engine.resumeMismatches, 0);
 });
 
-tap.test('max_tokens bounds an answer', async t => {
+tap.test('max_tokens limits the length of a response', async t => {
 	await using engine = await FakeEngine.create({costs: fast});
 	const text = await textOf(post(engine, {...chat('long [[tokens=500]]'), max_tokens: 5}));
 	t.equal(events(text).filter(event => event.token_index !== undefined).length, 5);
@@ -81,7 +81,7 @@
 	t.equal(engine.tokensDiscarded, engine.tokensProduced);
 });
 
-tap.test('a crash cuts the stream, and the engine starts again on its port', async t => {
+tap.test('a crash breaks the stream, and the engine restarts on the same port', async t => {
 	await using engine = await FakeEngine.create({costs: fast, faults: {crashAfterTokens: 5}});
 	await t.rejects(async () => {
 		const response = await post(engine, chat('cut [[tokens=50]]'));
@@ -93,10 +93,10 @@
 	t.equal(engine.crashes, 1);
 });
 
-tap.test('faults are told over HTTP, and a wrong one is refused', async t => {
+tap.test('faults can be set over HTTP, and an unknown one is rejected', async t => {
 	await using engine = await FakeEngine.create({costs: fast});
-	const told = await fetch(`${engine.url}/faults`, {method: 'POST', body: JSON.stringify({truncateStreams: 1, slowFactor: 2})});
-	t.equal(told.status, 200);
+	const changed = await fetch(`${engine.url}/faults`, {method: 'POST', body: JSON.stringify({truncateStreams: 1, slowFactor: 2})});
+	t.equal(changed.status, 200);
 	t.equal(engine.faults.slowFactor, 2);
 	t.equal(await statusOf(fetch(`${engine.url}/faults`, {method: 'POST', body: JSON.stringify({nonsense: 1})})), 400);
 	const text = await textOf(post(engine, chat('cut [[tokens=40]]')));
@@ -104,16 +104,16 @@
 	t.equal(engine.faults.truncateStreams, 0);
 });
 
-tap.test('an engine that checks refuses an order with an old fence; another takes it', async t => {
+tap.test('an engine that checks fencing numbers refuses an old order; one that does not accepts it', async t => {
 	await using checking = await FakeEngine.create();
-	await using careless = await FakeEngine.create({checksFences: false});
+	await using unchecked = await FakeEngine.create({checksFences: false});
 	const order = (engine: FakeEngine, fence: number): Promise<Response> => fetch(`${engine.url}/orders`, {
 		method: 'POST', body: JSON.stringify({order: 'load-model', name: 'model', version: String(fence), fence}),
 	});
 	t.equal(await statusOf(order(checking, 7)), 200);
 	t.equal(await statusOf(order(checking, 3)), 409);
 	t.equal(checking.loaded.models.get('model'), '7');
-	t.equal(await statusOf(order(careless, 7)), 200);
-	t.equal(await statusOf(order(careless, 3)), 200);
-	t.equal(careless.loaded.models.get('model'), '3');
+	t.equal(await statusOf(order(unchecked, 7)), 200);
+	t.equal(await statusOf(order(unchecked, 3)), 200);
+	t.equal(unchecked.loaded.models.get('model'), '3');
 });
--- a/test/fakes/service.test.ts
+++ b/test/fakes/service.test.ts
@@ -14,7 +14,7 @@
 	t.equal(bytes.byteLength, 100_000);
 });
 
-tap.test('a lost answer still counts as a run, a refused call does not', async t => {
+tap.test('a call with a lost response counts as a run, a refused call does not', async t => {
 	await using service = await FakeService.create({faults: {loseAnswers: 1, refuseCalls: 1}});
 	const send = (): Promise<Response> => fetch(`${service.url}/tickets`, {method: 'POST', body: 'soup', headers: {'idempotency-key': 'k'}});
 	const refused = await send();
