--- a/bench/gateway-soak/caller.ts
+++ b/bench/gateway-soak/caller.ts
@@ -3,7 +3,7 @@
 
 export type Kind = 'lookup' | 'release' | 'chart' | 'question';
 
-/** One request and what its caller saw. */
+/** One request and its result as seen by the caller. */
 export type Exchanged = {
 	readonly id: string;
 	readonly kind: Kind;
@@ -13,12 +13,12 @@
 };
 
 export const kinds: readonly Kind[] = ['lookup', 'release', 'chart', 'question'];
-/** Events of each stream. */
+/** Number of events in each stream. */
 export const eventCount = 6;
 const deadlineMilliseconds = 1500;
 
-/** Sends one request; resolves when its answer has ended, however. */
-export function ask({id, kind, port, key}: {id: string; kind: Kind; port: number; key: string}): Promise<Exchanged> {
+/** Sends one request; resolves when its response has ended, cleanly or not. */
+export function sendRequest({id, kind, port, key}: {id: string; kind: Kind; port: number; key: string}): Promise<Exchanged> {
 	return new Promise(resolve => {
 		const record: Exchanged = {id, kind, status: 0, body: '', isWhole: false};
 		const method = kind === 'lookup' ? 'GET' : 'POST';
--- a/bench/gateway-soak/checker.ts
+++ b/bench/gateway-soak/checker.ts
@@ -1,16 +1,16 @@
 import {type FakePlatformWorker} from '../../fakes/platform-worker.js';
 import {eventCount, type Exchanged} from './caller.js';
 
-/** Statuses that promise a caller that its request has not run and never will. */
-const promises = new Set([408, 421, 429, 503]);
+/** Statuses that guarantee that the request has not run and never will. */
+const notRunStatuses = new Set([408, 421, 429, 503]);
 
-/** Every rule that the records break, judged by callers and workers alone. */
+/** Returns the violations found by comparing the callers' records with those of the workers. */
 export function violations(records: readonly Exchanged[], workers: readonly FakePlatformWorker[]): string[] {
 	const runs = countRuns(workers);
-	return records.flatMap(record => broken(record, runs.get(record.id) ?? 0).map(rule => `${rule}: ${record.kind} ${record.id}, status ${record.status}, ${runs.get(record.id) ?? 0} runs`));
+	return records.flatMap(record => violatedRules(record, runs.get(record.id) ?? 0).map(rule => `${rule}: ${record.kind} ${record.id}, status ${record.status}, ${runs.get(record.id) ?? 0} runs`));
 }
 
-/** What worked on each request: a worker that refuses one does not count. */
+/** Counts the runs of each request; refusals by a worker do not count. */
 function countRuns(workers: readonly FakePlatformWorker[]): Map<string, number> {
 	const runs = new Map<string, number>();
 	for (const {requests} of workers) {
@@ -22,14 +22,14 @@
 	return runs;
 }
 
-function broken({id, kind, status, body, isWhole}: Exchanged, runs: number): string[] {
+function violatedRules({id, kind, status, body, isWhole}: Exchanged, runs: number): string[] {
 	const found: string[] = [];
-	const isOnce = kind === 'release' || kind === 'question';
-	if (isOnce && runs > 1) {
+	const isAtMostOnce = kind === 'release' || kind === 'question';
+	if (isAtMostOnce && runs > 1) {
 		found.push('run more than once');
 	}
 
-	if (promises.has(status) && runs > 0) {
+	if (notRunStatuses.has(status) && runs > 0) {
 		found.push('said not to have run');
 	}
 
@@ -45,7 +45,7 @@
 	return found;
 }
 
-/** The events are the request's own, from the first on without a gap; all of them if the stream is whole. */
+/** Whether the events belong to the request, start with the first, have no gap, and are all there if the stream ended cleanly. */
 function isStreamOf(id: string, body: string, isWhole: boolean): boolean {
 	const events = [...body.matchAll(/^id: (?<number>\d+)\ndata: (?<owner>\S+) \k<number>\n\n/gmv)];
 	const isOwn = events.every((event, index) => Number(event.groups?.number) === index + 1 && event.groups?.owner === id);
--- a/bench/gateway-soak/child.ts
+++ b/bench/gateway-soak/child.ts
@@ -5,7 +5,7 @@
 import process from 'node:process';
 import {FakePath} from '../../fakes/network-path.js';
 
-/** The program as it is deployed. */
+/** The bundled program, as deployed. */
 const program = new URL('../../../target/cassiaflow-gateway.mjs', import.meta.url).pathname;
 const clockShift = new URL('shift-clock.js', import.meta.url).href;
 const readyMilliseconds = 15_000;
@@ -17,13 +17,13 @@
 	/** Caller, admin and peer port. */
 	readonly ports: readonly [number, number, number];
 	readonly seedHosts: readonly string[];
-	/** How far the time of day is off, in milliseconds. */
+	/** Offset of the process's wall clock, in milliseconds. */
 	readonly clockMilliseconds: number;
-	/** Flags for Node besides. */
+	/** Additional flags for Node. */
 	readonly nodeFlags?: readonly string[];
 };
 
-/** One gateway as a real process, whose way to the store passes a path that can be cut. */
+/** One gateway as a real process that reaches the store over a network path with fault injection. */
 export class GatewayChild implements AsyncDisposable {
 	static async create(options: ChildOptions): Promise<GatewayChild> {
 		const child = new GatewayChild(options, await FakePath.create(options.storeAddress));
@@ -33,13 +33,12 @@
 
 	readonly storePath: FakePath;
 	readonly options: ChildOptions;
-	/** Ends that nobody asked for. */
-	/** How it ended where nobody asked it to: a signal or a code. */
-	readonly ownEnds: string[] = [];
+	/** Signals or exit codes of unexpected exits. */
+	readonly unexpectedExits: string[] = [];
 	lines = '';
 	#process: ChildProcess | undefined;
-	#isEndWanted = false;
-	#replacing: Promise<void> = Promise.resolve();
+	#isExitExpected = false;
+	#lastReplacement: Promise<void> = Promise.resolve();
 
 	private constructor(options: ChildOptions, storePath: FakePath) {
 		this.options = options;
@@ -61,7 +60,7 @@
 			instance: this.options.instance, availabilityZone: 'zone-a', callerAddress: `127.0.0.1:${callers}`, adminAddress: `127.0.0.1:${admin}`,
 			peerAddress: `127.0.0.1:${peers}`, storeAddress: this.storePath.address, seedHosts: this.options.seedHosts, memoryMegabytes: 200, stopSeconds: 6,
 		}));
-		this.#isEndWanted = false;
+		this.#isExitExpected = false;
 		const started = spawn(process.execPath, [...(this.options.nodeFlags ?? []), '--import', clockShift, program], {
 			env: {...process.env, CASSIAFLOW_CONFIG: file, CLOCK_SHIFT_MILLISECONDS: String(this.options.clockMilliseconds)}, stdio: ['ignore', 'pipe', 'pipe'],
 		});
@@ -73,8 +72,8 @@
 		}
 
 		started.once('exit', (code, signal) => {
-			if (!this.#isEndWanted) {
-				this.ownEnds.push(signal ?? `code ${code}`);
+			if (!this.#isExitExpected) {
+				this.unexpectedExits.push(signal ?? `code ${code}`);
 			}
 		});
 	}
@@ -83,7 +82,7 @@
 		await this.#replace('SIGKILL');
 	}
 
-	/** A planned stop, and a start after it. */
+	/** Shuts down gracefully and starts again. */
 	async restart(): Promise<void> {
 		await this.#replace('SIGTERM');
 	}
@@ -115,9 +114,9 @@
 		return false;
 	}
 
-	/** Ends it by a signal, and resolves once it is gone. */
+	/** Ends the process by a signal, and resolves once it has exited. */
 	async end(signal: NodeJS.Signals): Promise<void> {
-		this.#isEndWanted = true;
+		this.#isExitExpected = true;
 		const ending = this.#process;
 		if (ending?.exitCode !== null || ending.signalCode !== null) {
 			return;
@@ -133,30 +132,30 @@
 		await this.storePath[Symbol.asyncDispose]();
 	}
 
-	/** One end and start after the other, whatever faults meet. */
+	/** Ends and restarts the process; concurrent calls run one after the other. */
 	async #replace(signal: NodeJS.Signals): Promise<void> {
-		const before = this.#replacing;
-		this.#replacing = (async () => {
+		const before = this.#lastReplacement;
+		this.#lastReplacement = (async () => {
 			await before;
 			await this.end(signal);
 			await this.start();
 		})();
-		await this.#replacing;
+		await this.#lastReplacement;
 	}
 
 	#isReady(): Promise<boolean> {
 		return new Promise(resolve => {
-			const asked = request({host: '127.0.0.1', port: this.options.ports[1], path: '/v1/ready', timeout: 500}, answer => {
-				answer.resume();
-				resolve(answer.statusCode === 200);
+			const probe = request({host: '127.0.0.1', port: this.options.ports[1], path: '/v1/ready', timeout: 500}, response => {
+				response.resume();
+				resolve(response.statusCode === 200);
 			});
-			asked.on('error', () => {
+			probe.on('error', () => {
 				resolve(false);
 			});
-			asked.on('timeout', () => {
-				asked.destroy();
+			probe.on('timeout', () => {
+				probe.destroy();
 			});
-			asked.end();
+			probe.end();
 		});
 	}
 }
--- a/bench/gateway-soak/index.ts
+++ b/bench/gateway-soak/index.ts
@@ -8,10 +8,10 @@
 const firstPort = 21_000;
 const portsEach = 16;
 
-/** Real gateways as processes, with faults; exits with 1 and the seeds if a rule was broken. */
+/** Runs real gateways as processes with fault injection; prints the seeds and exits with 1 if a rule was violated. */
 export const gatewaySoakCommand: CommandModule<unknown, Settings> = {
 	command: 'gateway-soak',
-	describe: 'gateways as processes under kills, freezes, cuts, refusals and changes, judged by callers and workers',
+	describe: 'gateways as processes under kills, freezes, broken connections, refusals and changes, checked against callers and workers',
 	builder: {
 		seed: {type: 'number', default: 1, describe: 'the first seed'},
 		count: {type: 'number', default: 50, describe: 'how many seeds'},
@@ -21,7 +21,7 @@
 		execFileSync(process.execPath, ['tools/bundle.mjs'], {stdio: 'inherit'});
 		const seeds = Array.from({length: count}, (_, index) => seed + index);
 		const totals = {requests: 0, served: 0, violations: 0};
-		const work = async (lane: number): Promise<void> => {
+		const runLane = async (lane: number): Promise<void> => {
 			for (let next = seeds.shift(); next !== undefined; next = seeds.shift()) {
 				const result = await runSeed(next, firstPort + (lane * portsEach));
 				totals.requests += result.requests;
@@ -33,7 +33,7 @@
 			}
 		};
 
-		await Promise.all(Array.from({length: jobs}, async (_, lane) => work(lane)));
+		await Promise.all(Array.from({length: jobs}, async (_, lane) => runLane(lane)));
 		console.log(`${count} seeds from ${seed}: ${totals.requests} requests, ${totals.served} served whole, ${totals.violations} violations`);
 		process.exitCode = totals.violations === 0 ? 0 : 1;
 	},
--- a/bench/gateway-soak/run-seed.ts
+++ b/bench/gateway-soak/run-seed.ts
@@ -5,7 +5,7 @@
 import {FakePlatformStore} from '../../fakes/platform-store.js';
 import {FakePlatformWorker, type WorkerAnswer, type WorkerRequest} from '../../fakes/platform-worker.js';
 import {createRandom, type Random} from '../harness/random.js';
-import {ask, eventCount, type Exchanged, kinds} from './caller.js';
+import {sendRequest, eventCount, type Exchanged, kinds} from './caller.js';
 import {violations} from './checker.js';
 import {GatewayChild} from './child.js';
 
@@ -37,21 +37,21 @@
 const requestPauseMilliseconds = 14;
 const gatewayCount = 2;
 const faultCount = {low: 2, high: 5};
-/** Until everything that was lost is written again. */
+/** Upper bound on the time after a restore until the lost records are written again. */
 const rewriteMilliseconds = 2000;
-/** After the last fault: a routing table is known within its waits, and a planned stop is over. */
+/** Allowed time after the last fault: enough for the poll intervals of a routing table and for a graceful shutdown. */
 const settleMilliseconds = 10_000;
 const keyKept = 'key-a';
 const keyRevoked = 'key-b';
 
-/** One world of real gateways with faults drawn from a seed. */
+/** Runs real gateways with faults drawn from a seed. */
 export async function runSeed(seed: number, basePort: number): Promise<SeedResult> {
 	await using world = await SoakWorld.create(seed, basePort);
 	const result = await world.run();
 	return result;
 }
 
-type Worker = {readonly worker: FakePlatformWorker; readonly path: FakePath; revision: number; hasLeft: boolean};
+type Worker = {readonly worker: FakePlatformWorker; readonly path: FakePath; revision: number; isDraining: boolean};
 
 class SoakWorld implements AsyncDisposable {
 	static async create(seed: number, basePort: number): Promise<SoakWorld> {
@@ -83,7 +83,7 @@
 	readonly #gateways: GatewayChild[] = [];
 	readonly #records: Array<Promise<Exchanged>> = [];
 	readonly #injected: string[] = [];
-	readonly #healing: Array<Promise<void>> = [];
+	readonly #faultsDone: Array<Promise<void>> = [];
 	#answerMode: WorkerAnswer['type'] | 'cut' = 'whole';
 	#version = 0;
 	#isRevoked = false;
@@ -105,16 +105,16 @@
 		const count = faultCount.low + Math.floor(this.#random.uniform() * (faultCount.high - faultCount.low + 1));
 		const faultsAt = Array.from({length: count}, () => this.#random.uniform() * trafficMilliseconds * 0.8);
 		for (const at of faultsAt) {
-			this.#healing.push(sleep(at).then(async () => this.#inject()));
+			this.#faultsDone.push(sleep(at).then(async () => this.#inject()));
 		}
 
-		await this.#traffic();
-		await Promise.all(this.#healing);
-		found.push(...await this.#recovery());
+		await this.#sendTraffic();
+		await Promise.all(this.#faultsDone);
+		found.push(...await this.#checkRecovery());
 		const records = await Promise.all(this.#records);
 		found.push(...violations(records, this.#workers.map(({worker}) => worker)));
-		for (const gateway of this.#gateways.filter(({ownEnds}) => ownEnds.length > 0)) {
-			found.push(`${gateway.options.instance} ended by itself (${gateway.ownEnds.join(', ')})`);
+		for (const gateway of this.#gateways.filter(({unexpectedExits}) => unexpectedExits.length > 0)) {
+			found.push(`${gateway.options.instance} ended by itself (${gateway.unexpectedExits.join(', ')})`);
 		}
 
 		return {
@@ -130,32 +130,32 @@
 		rmSync(this.#folder, {recursive: true});
 	}
 
-	async #traffic(): Promise<void> {
+	async #sendTraffic(): Promise<void> {
 		const until = performance.now() + trafficMilliseconds;
 		for (let number = 0; performance.now() < until; number++) {
 			const gateway = this.#gateways[number % this.#gateways.length]!;
 			const key = number % 5 === 0 && !this.#isRevoked ? keyRevoked : keyKept;
-			this.#records.push(ask({id: `s${this.#seed}-${number}`, kind: kinds[Math.floor(this.#random.uniform() * kinds.length)]!, port: gateway.callerPort, key}));
+			this.#records.push(sendRequest({id: `s${this.#seed}-${number}`, kind: kinds[Math.floor(this.#random.uniform() * kinds.length)]!, port: gateway.callerPort, key}));
 			await sleep(requestPauseMilliseconds);
 		}
 	}
 
-	/** With all faults over, every gateway serves again, has the newest table, and turns the revoked key away. */
-	async #recovery(): Promise<string[]> {
+	/** Checks that after all faults every gateway serves again with the newest routing table and rejects the revoked key. */
+	async #checkRecovery(): Promise<string[]> {
 		const found: string[] = [];
 		for (const gateway of this.#gateways) {
 			const until = performance.now() + settleMilliseconds;
-			let good = 0;
+			let consecutiveGood = 0;
 			let last = 0;
-			for (let number = 0; good < 10 && performance.now() < until; number++) {
-				const {status} = await ask({id: `s${this.#seed}-after-${gateway.options.instance}-${number}`, kind: 'lookup', port: gateway.callerPort, key: keyKept});
-				const revoked = await ask({id: `s${this.#seed}-revoked-${gateway.options.instance}-${number}`, kind: 'lookup', port: gateway.callerPort, key: keyRevoked});
-				good = status === 200 && (revoked.status === 401) === this.#isRevoked ? good + 1 : 0;
+			for (let number = 0; consecutiveGood < 10 && performance.now() < until; number++) {
+				const {status} = await sendRequest({id: `s${this.#seed}-after-${gateway.options.instance}-${number}`, kind: 'lookup', port: gateway.callerPort, key: keyKept});
+				const revoked = await sendRequest({id: `s${this.#seed}-revoked-${gateway.options.instance}-${number}`, kind: 'lookup', port: gateway.callerPort, key: keyRevoked});
+				consecutiveGood = status === 200 && (revoked.status === 401) === this.#isRevoked ? consecutiveGood + 1 : 0;
 				last = status;
-				await sleep(good > 0 ? 0 : 100);
+				await sleep(consecutiveGood > 0 ? 0 : 100);
 			}
 
-			if (good < 10) {
+			if (consecutiveGood < 10) {
 				found.push(`${gateway.options.instance} did not recover, last status ${last}`);
 			}
 		}
@@ -223,7 +223,7 @@
 			}
 
 			case 'store-copy': {
-				return this.#comeBackFromCopy(milliseconds);
+				return this.#restoreStore(milliseconds);
 			}
 
 			case 'worker-cut': {
@@ -248,7 +248,7 @@
 			}
 
 			case 'worker-leaves': {
-				this.#leave(worker.id);
+				this.#drainWorker(worker.id);
 				await this.#addWorker(`${worker.id}-next`, worker.service);
 				return;
 			}
@@ -265,29 +265,29 @@
 		const worker = await FakePlatformWorker.create(id, service);
 		worker.answer = request => this.#answer(request);
 		const path = await FakePath.create(worker.address);
-		const added = {worker, path, revision: 0, hasLeft: false};
+		const added = {worker, path, revision: 0, isDraining: false};
 		this.#workers.push(added);
 		this.#register(added);
 	}
 
-	/** A heartbeat: its revision rises each time. */
+	/** Writes a worker's heartbeat with the next revision. */
 	#register(registered: Worker): void {
-		const {worker, path, hasLeft} = registered;
+		const {worker, path, isDraining} = registered;
 		registered.revision += 1;
-		this.#store.put('keyed.servers', worker.id, {...worker.beat({state: hasLeft ? 'draining' : 'ready', seq: registered.revision}), address: path.address});
+		this.#store.put('keyed.servers', worker.id, {...worker.beat({state: isDraining ? 'draining' : 'ready', seq: registered.revision}), address: path.address});
 	}
 
-	#leave(id: string): void {
-		const leaving = this.#workers.find(({worker}) => worker.id === id)!;
-		leaving.hasLeft = true;
-		this.#register(leaving);
+	#drainWorker(id: string): void {
+		const drained = this.#workers.find(({worker}) => worker.id === id)!;
+		drained.isDraining = true;
+		this.#register(drained);
 	}
 
-	/** The store is back as it was some time ago; the operator and the workers write again what they had written since. */
-	async #comeBackFromCopy(milliseconds: number): Promise<void> {
-		const copy = this.#store.copy();
+	/** Restores the store from a backup; the operator and the workers then write again what was lost. */
+	async #restoreStore(milliseconds: number): Promise<void> {
+		const backup = this.#store.copy();
 		await sleep(milliseconds);
-		this.#store.comeBackFrom(copy);
+		this.#store.comeBackFrom(backup);
 		await sleep(this.#random.uniform() * rewriteMilliseconds);
 		this.#publishAgain();
 		for (const worker of this.#workers) {
@@ -295,7 +295,7 @@
 		}
 	}
 
-	/** One answer in three shows the fault of the moment. */
+	/** Chooses a worker's response; about one in three gets the current fault. */
 	#answer(request: WorkerRequest): WorkerAnswer {
 		const mode = this.#random.uniform() < 0.34 ? this.#answerMode : 'whole';
 		if (mode === 'reset' || mode === 'not-run') {
--- a/bench/gateway-soak/shift-clock.ts
+++ b/bench/gateway-soak/shift-clock.ts
@@ -1,4 +1,4 @@
-/** Loaded before a program under test: its time of day is off, as that of an instance whose clock jumped. */
+/** Preloaded into a process under test: shifts its wall clock, as on an instance whose clock is wrong. */
 import process from 'node:process';
 
 const shift = Number(process.env.CLOCK_SHIFT_MILLISECONDS ?? 0);
--- a/bench/soak.ts
+++ b/bench/soak.ts
@@ -1,6 +1,6 @@
 /**
- * Long randomised runs with faults: real entries and sides over loopback, stand-ins around them, and
- * a checker outside the product. Exits with 1 and the seed if a rule was broken.
+ * Long randomised runs with fault injection: real entries and sides over loopback, stand-ins around them,
+ * and a checker independent of the product. Prints the seed and exits with 1 if a rule was violated.
  */
 import process from 'node:process';
 import yargs from 'yargs';
--- a/bench/soak/checker.ts
+++ b/bench/soak/checker.ts
@@ -1,6 +1,6 @@
 import {type Verdict} from '../../src/model/index.js';
 
-/** One call as its caller saw it. */
+/** One call as seen by its caller. */
 export type CallRecord = {
 	readonly prompt: string;
 	readonly key: string | undefined;
@@ -11,7 +11,7 @@
 	readonly outcome: 'whole' | 'wrong' | 'failed' | 'broken';
 	readonly verdict: Verdict | undefined;
 	readonly code: string | undefined;
-	/** How the answer ended, in words. */
+	/** Description of how the response ended, for reports. */
 	readonly ending: string;
 	readonly callerLeft: boolean;
 	readonly tokens: number;
@@ -19,24 +19,24 @@
 	readonly dueMilliseconds: number;
 };
 
-/** What the stand-ins know: how often they took in each prompt and each key. */
+/** What the stand-ins recorded, independently of the product. */
 export type Truth = {
 	readonly runsOfPrompt: (prompt: string) => number;
 	readonly runsOfKey: (key: string) => number;
-	/** How many engines each prompt took down. */
+	/** How many engine crashes each prompt caused. */
 	readonly crashesByPrompt: ReadonlyMap<string, number>;
-	/** When each entry that did not stop as planned went away. */
+	/** When each crashed entry crashed, by its address. */
 	readonly crashedEntries: ReadonlyMap<string, number>;
 };
 
 export type Violation = {readonly rule: string; readonly detail: string; readonly at: number};
 
-/** Longer than every limit of the classes in the soak: a call past it hangs. */
+/** Longer than every time limit of the soak's classes: a call that takes longer hangs. */
 const longestCallMilliseconds = 60_000;
 
 /**
- * Holds what callers got against what the stand-ins ran. It knows nothing of the product's own
- * counts, so a product that is wrong about itself is found out.
+ * Checks the results of callers against what the stand-ins ran. Does not use the product's own counts,
+ * so that wrong counts cannot hide a violation.
  */
 export function checkCalls(calls: readonly CallRecord[], truth: Truth): Violation[] {
 	return calls.flatMap(call => [...checkCall(call, truth)]);
@@ -52,7 +52,7 @@
 		yield violation('verdict', 'a failure without a verdict');
 	}
 
-	if (call.outcome === 'broken' && !call.callerLeft && !isCutByCrash(call, truth)) {
+	if (call.outcome === 'broken' && !call.callerLeft && !isBrokenByCrash(call, truth)) {
 		yield violation('whole answer or verdict', 'the answer broke off without a word, and its entry had not crashed');
 	}
 
@@ -65,21 +65,21 @@
 	}
 }
 
-/** A crash of the entry cuts its callers' connections: nobody is left to tell a verdict. */
-function isCutByCrash(call: CallRecord, truth: Truth): boolean {
+/** A crash of the entry breaks its callers' connections, so that they get no verdict. */
+function isBrokenByCrash(call: CallRecord, truth: Truth): boolean {
 	const crashedAt = truth.crashedEntries.get(call.entry);
 	return crashedAt !== undefined && crashedAt <= call.endedAt;
 }
 
-/** After the last resend of a key: told not-run each time, and yet it ran. */
+/** Finds keys that ran although every call with the key was refused as not run. */
 export function checkKeys(calls: readonly CallRecord[], truth: Truth): Violation[] {
 	const keyed = calls.filter(({key}) => key !== undefined);
 	return findFalseNotRun(groupBy(keyed, ({key}) => key!), truth.runsOfKey);
 }
 
 /**
- * The same for calls without a key, by prompt: prompts are unique, but for a caller that sends one
- * again, where an earlier sending may have run and a later one truthfully not.
+ * The same check for calls without a key, by prompt. Prompts are unique unless a caller sends one again;
+ * then an earlier call may have run and a later one correctly not.
  */
 export function checkNotRun(calls: readonly CallRecord[], truth: Truth): Violation[] {
 	const plain = calls.filter(({key}) => key === undefined);
@@ -94,7 +94,7 @@
 			return [{rule: 'not run', detail: `every sending of ${name} said not-run, it ran ${ran} times`, at: sends.at(-1)!.endedAt}];
 		}
 
-		// An answer that no engine ran shows that the truth is asked by another name, and checks nothing.
+		// A complete response without a run shows that the lookup uses a wrong name, in which case this check would find nothing.
 		const whole = sends.find(({outcome}) => outcome === 'whole');
 		return whole !== undefined && ran === 0 ? [{rule: 'truth', detail: `${name} was answered and no engine ran it`, at: whole.endedAt}] : [];
 	});
@@ -110,16 +110,16 @@
 	return groups;
 }
 
-/** What one request that crashes endpoints may take down within the quarantine's time, which outlasts a run. */
-const mostCrashes = 2;
+/** How many endpoints one request may crash within the quarantine period, which is longer than a run. */
+const maximumCrashes = 2;
 
 export function checkCrashes(truth: Truth, at: number): Violation[] {
-	return [...truth.crashesByPrompt].filter(([, crashes]) => crashes > mostCrashes).map(([prompt, crashes]) => ({
+	return [...truth.crashesByPrompt].filter(([, crashes]) => crashes > maximumCrashes).map(([prompt, crashes]) => ({
 		rule: 'requests that crash endpoints', detail: `${prompt} took down ${crashes} endpoints`, at,
 	}));
 }
 
-/** Watches one follower's offset, which may only rise. */
+/** Checks that the catalogue offset of each instance never decreases. */
 export class OffsetWatch {
 	static create(): OffsetWatch {
 		return new OffsetWatch();
@@ -129,10 +129,10 @@
 	readonly #highest = new Map<string, number>();
 
 	private constructor() {
-		// Made by `create` alone.
+		// Instances are made by `create`.
 	}
 
-	see(instance: string, offset: number, at: number): void {
+	observe(instance: string, offset: number, at: number): void {
 		const before = this.#highest.get(instance) ?? -1;
 		if (offset < before) {
 			this.violations.push({rule: 'catalogue never reverts', detail: `${instance} went from offset ${before} back to ${offset}`, at});
--- a/bench/soak/faults.ts
+++ b/bench/soak/faults.ts
@@ -6,9 +6,9 @@
 import {type FaultKind, type PlannedFault} from './plan.js';
 import {type World} from './world.js';
 
-/** How soon a leaving endpoint must have stopped getting new work. */
-const leavingMilliseconds = 2000;
-/** How soon a change must be in force everywhere. */
+/** Within this time after it began to drain, an endpoint must have stopped getting new requests. */
+const drainingMilliseconds = 2000;
+/** Within this time a change must be in force at every entry. */
 const inForceMilliseconds = 5000;
 const countedEvents = 2;
 const slowFactor = 12;
@@ -16,12 +16,12 @@
 const pathDelayMilliseconds = 30;
 const crashTokens = 7;
 
-/** What callers do, not processes: see load.ts. */
+/** Faults caused by callers; see load.ts. */
 export type CallerFault = 'poison-request' | 'caller-burst';
 
 type Injection = (world: World, fault: PlannedFault) => Promise<void>;
 
-/** Shows a fault for its time, and ends it. */
+/** Injects a fault for its duration and then removes it. */
 export async function injectFault(world: World, kind: Exclude<FaultKind, CallerFault>, fault: PlannedFault): Promise<void> {
 	await injections[kind](world, fault);
 }
@@ -107,8 +107,8 @@
 		const endpoint = world.endpoint(target);
 		await exclusively(world, endpoint, async () => {
 			const added = await world.fleet.addEndpoint(`engine-${world.nextEndpoint++}`, 'zone-a');
-			world.adopt(added.engine);
-			await Promise.all([world.fleet.stopEndpoint(endpoint), watchLeaving(world, endpoint)]);
+			world.addEngine(added.engine);
+			await Promise.all([world.fleet.stopEndpoint(endpoint), checkDraining(world, endpoint)]);
 		});
 	},
 	async publish(world, {target}) {
@@ -120,15 +120,15 @@
 	},
 };
 
-/** One fault at a time takes a process down; a second one that meets it leaves it alone. */
-async function exclusively(world: World, part: Record<string, unknown>, action: () => Promise<void>): Promise<void> {
-	if (world.busy.has(part)) {
+/** Runs the action unless another fault is already taking this process down. */
+async function exclusively(world: World, localProcess: Record<string, unknown>, action: () => Promise<void>): Promise<void> {
+	if (world.inTransition.has(localProcess)) {
 		return;
 	}
 
-	world.busy.add(part);
+	world.inTransition.add(localProcess);
 	await action();
-	world.busy.delete(part);
+	world.inTransition.delete(localProcess);
 }
 
 function onEngine(faults: Partial<EngineFaults>, after: Partial<EngineFaults> = {}): Injection {
@@ -142,11 +142,11 @@
 
 function onLog(faults: Partial<LogFaults>, after: Partial<LogFaults> = {}): Injection {
 	return async (world, {durationMilliseconds}) => {
-		world.logTroubledUntil = Number.POSITIVE_INFINITY;
+		world.logFaultyUntil = Number.POSITIVE_INFINITY;
 		Object.assign(world.fleet.log.faults, faults);
 		await delay(durationMilliseconds);
 		Object.assign(world.fleet.log.faults, after);
-		world.logTroubledUntil = performance.now();
+		world.logFaultyUntil = performance.now();
 	};
 }
 
@@ -158,14 +158,14 @@
 	};
 }
 
-/** The rule: two seconds after an endpoint began to leave, its engine starts nothing more. */
-async function watchLeaving(world: World, {engine, name}: LocalEndpoint): Promise<void> {
-	await delay(leavingMilliseconds);
+/** Checks that the engine starts no request later than two seconds after its endpoint began to drain. */
+async function checkDraining(world: World, {engine, name}: LocalEndpoint): Promise<void> {
+	await delay(drainingMilliseconds);
 	const before = totalRuns(engine.runsByRequest);
-	await delay(leavingMilliseconds);
+	await delay(drainingMilliseconds);
 	const after = totalRuns(engine.runsByRequest);
 	if (after > before) {
-		world.violations.push({rule: 'leaving gets no work', detail: `${name} began ${after - before} runs later than ${leavingMilliseconds} ms after it began to leave`, at: performance.now()});
+		world.violations.push({rule: 'leaving gets no work', detail: `${name} began ${after - before} runs later than ${drainingMilliseconds} ms after it began to leave`, at: performance.now()});
 	}
 }
 
@@ -173,7 +173,7 @@
 	return [...runs.values()].reduce((total, count) => total + count, 0);
 }
 
-/** Publishes a model and measures how long it takes until each entry has it in force. */
+/** Publishes a model and measures the time until it is in force at each entry. */
 async function publishAndTime(world: World, name: string): Promise<void> {
 	const startedAt = performance.now();
 	const entry: CatalogueEntry = {kind: 'model', name, owner: 'soak', version: '1', replicas: 0, adapters: []};
@@ -183,7 +183,7 @@
 	while (entries.some(({entry: member, follower}) => world.fleet.entries.some(local => local.entry === member) && follower.current().offset < offset)) {
 		await delay(20);
 		const elapsed = performance.now() - startedAt;
-		if (elapsed > inForceMilliseconds && world.logTroubledUntil < startedAt) {
+		if (elapsed > inForceMilliseconds && world.logFaultyUntil < startedAt) {
 			world.violations.push({rule: 'in force within 5 s', detail: `offset ${offset} is not in force everywhere after ${Math.round(elapsed)} ms with a log that was well`, at: performance.now()});
 			return;
 		}
@@ -193,7 +193,7 @@
 		}
 	}
 
-	if (world.logTroubledUntil < startedAt) {
+	if (world.logFaultyUntil < startedAt) {
 		world.slowestChangeMilliseconds = Math.max(world.slowestChangeMilliseconds, performance.now() - startedAt);
 	}
 }
--- a/bench/soak/load.ts
+++ b/bench/soak/load.ts
@@ -16,20 +16,20 @@
 	},
 ];
 
-/** Sent with a key, since it must not run twice. */
+/** Sent with an idempotency key, since it must not run twice. */
 const ticketClass = soakClasses[3]!;
 const keyedChance = 0.1;
-/** How often a caller that got no whole answer sends its key again. */
+/** Number of rounds in which a caller sends its key; the first goes to two entries at once. */
 const keyedSends = 3;
 const meanTokens = 40;
-const leavingCallerChance = 0.05;
-const leavesAfterMilliseconds = 400;
+const disconnectChance = 0.05;
+const disconnectWithinMilliseconds = 400;
 const slowCallerChance = 0.03;
 const slowCallerPauseMilliseconds = 20;
 const poisonSends = 4;
 const burstCalls = 60;
 
-/** Callers of one run: they send, and keep a record of what each got. */
+/** The callers of one run. Sends calls and records the result of each. */
 export class Callers {
 	static create(world: World, random: Random, seed: number): Callers {
 		return new Callers(world, random, seed);
@@ -37,7 +37,7 @@
 
 	readonly records: CallRecord[] = [];
 	readonly results: CallResult[] = [];
-	/** Requests that crash what runs them, by prompt. */
+	/** Number of requests sent that crash the engine that runs them. */
 	poisonSent = 0;
 	readonly #world: World;
 	readonly #random: Random;
@@ -51,7 +51,7 @@
 		this.#seed = seed;
 	}
 
-	/** Sends one ordinary call and does not wait for it. */
+	/** Starts one ordinary call without waiting for its result. */
 	send(): void {
 		const random = this.#random;
 		this.#sent++;
@@ -61,55 +61,55 @@
 		}
 
 		const tokens = 1 + Math.floor(random.exponential(meanTokens));
-		this.#start(this.#one({
+		this.#start(this.#sendCall({
 			prompt: `seed ${this.#seed} call ${this.#sent} [[tokens=${tokens}]]`,
 			plan: random.pick(soakClasses.slice(0, 3)),
 			workspace: random.pick(workspaces),
 			target: random.below(1000),
-			leavesAfter: random.uniform() < leavingCallerChance ? random.below(leavesAfterMilliseconds) : undefined,
+			disconnectAfter: random.uniform() < disconnectChance ? random.below(disconnectWithinMilliseconds) : undefined,
 			pause: random.uniform() < slowCallerChance ? slowCallerPauseMilliseconds : undefined,
 		}));
 	}
 
-	/** Many at once from one workspace, in the lowest tier. */
+	/** Starts many calls at once from one workspace, in the lowest tier. */
 	burst(target: number): void {
 		for (let count = 0; count < burstCalls; count++) {
 			this.#sent++;
-			this.#start(this.#one({
+			this.#start(this.#sendCall({
 				...steadyCaller, prompt: `seed ${this.#seed} burst ${this.#sent} [[tokens=60]]`, plan: soakClasses[2]!, workspace: workspaces[target % workspaces.length]!, target: target + count,
 			}));
 		}
 	}
 
-	/** One request that crashes each endpoint that runs it; its caller sends it again through other entries. */
+	/** Starts a request that crashes each engine that runs it; its caller sends it again through other entries. */
 	poison(target: number): void {
 		this.poisonSent++;
 		const prompt = `${poisonText} of seed ${this.#seed}, number ${this.poisonSent}`;
-		this.#start(this.#insist(prompt, target));
+		this.#start(this.#sendPoison(prompt, target));
 	}
 
-	/** Resolves once every call has its outcome. */
+	/** Resolves once every call has ended. */
 	async settled(): Promise<void> {
 		while (this.#pending.size > 0) {
 			await Promise.all(this.#pending);
 		}
 	}
 
-	async #insist(prompt: string, target: number): Promise<void> {
+	async #sendPoison(prompt: string, target: number): Promise<void> {
 		for (let sending = 0; sending < poisonSends; sending++) {
-			await this.#one({...steadyCaller, prompt, plan: soakClasses[1]!, workspace: workspaces[target % workspaces.length]!, target: target + sending});
+			await this.#sendCall({...steadyCaller, prompt, plan: soakClasses[1]!, workspace: workspaces[target % workspaces.length]!, target: target + sending});
 		}
 	}
 
-	/** The same key goes to two entries at once, and again after a failure, as an anxious caller does. */
+	/** Sends the same key to two entries at once and then several times more, like a caller that retries aggressively. */
 	async #ticket(target: number): Promise<void> {
 		const key = createKey();
 		const call = {
 			...steadyCaller, key, prompt: `seed ${this.#seed} ticket ${this.#sent} [[tokens=30]]`, plan: ticketClass, workspace: workspaces[target % workspaces.length]!,
 		};
-		await Promise.all([this.#one({...call, target}), this.#one({...call, target: target + 1})]);
+		await Promise.all([this.#sendCall({...call, target}), this.#sendCall({...call, target: target + 1})]);
 		for (let sending = 1; sending < keyedSends; sending++) {
-			await this.#one({...call, target: target + sending});
+			await this.#sendCall({...call, target: target + sending});
 		}
 	}
 
@@ -120,17 +120,17 @@
 		});
 	}
 
-	async #one({prompt, key, plan, workspace, target, leavesAfter, pause}: Call): Promise<void> {
-		const {address} = this.#world.balance(target).entry;
-		const leaving = new AbortController();
-		const timer = leavesAfter === undefined
+	async #sendCall({prompt, key, plan, workspace, target, disconnectAfter, pause}: Call): Promise<void> {
+		const {address} = this.#world.pickEntry(target).entry;
+		const abort = new AbortController();
+		const timer = disconnectAfter === undefined
 			? undefined
 			: setTimeout(() => {
-				leaving.abort();
-			}, leavesAfter);
+				abort.abort();
+			}, disconnectAfter);
 		const startedAt = performance.now();
 		const result = await callModel({
-			address, key: keyOf(workspace), className: plan.name, model: soakModel, prompt, signal: leaving.signal, pauseMilliseconds: pause, idempotencyKey: key,
+			address, key: keyOf(workspace), className: plan.name, model: soakModel, prompt, signal: abort.signal, pauseMilliseconds: pause, idempotencyKey: key,
 		});
 		clearTimeout(timer);
 		this.results.push(result);
@@ -145,7 +145,7 @@
 			verdict: result.verdict,
 			code: result.code,
 			ending: `status ${result.status}, ${result.tokens} tokens, ${result.breakReason ?? 'ended cleanly'}`,
-			callerLeft: leaving.signal.aborted,
+			callerLeft: abort.signal.aborted,
 			tokens: result.tokens,
 			firstTokenMilliseconds: result.firstTokenMilliseconds,
 			dueMilliseconds: plan.firstTokenMilliseconds,
@@ -159,9 +159,9 @@
 	readonly plan: ClassPlan;
 	readonly workspace: string;
 	readonly target: number;
-	readonly leavesAfter: number | undefined;
+	readonly disconnectAfter: number | undefined;
 	readonly pause: number | undefined;
 };
 
-/** A caller that stays and reads as fast as it can. */
-const steadyCaller = {leavesAfter: undefined, pause: undefined};
+/** A caller that does not disconnect and reads without pauses. */
+const steadyCaller = {disconnectAfter: undefined, pause: undefined};
--- a/bench/soak/plan.ts
+++ b/bench/soak/plan.ts
@@ -48,14 +48,14 @@
 
 const shortestMilliseconds = 100;
 const longestMilliseconds = 2500;
-/** Some faults come with a second one at the same moment, since the rules hold under pairs too. */
+/** Some faults coincide with a second one, since the rules must hold under pairs of faults too. */
 const pairChance = 0.35;
 const repeatChance = 0.15;
 const repeatWithinMilliseconds = 200;
-/** Larger than any number of parts, so that each is picked about as often. */
-const targets = 1000;
+/** Much larger than the number of processes, so that `target % count` is about uniform. */
+const targetBound = 1000;
 
-/** Faults over a time, about `perSecond`, singly, in pairs and repeated. */
+/** Plans about `perSecond` faults over a time span; some come in pairs or are repeated. */
 export function planFaults(random: Random, totalMilliseconds: number, perSecond: number): PlannedFault[] {
 	const planned: PlannedFault[] = [];
 	let at = 0;
@@ -79,6 +79,6 @@
 
 function planOne(random: Random, atMilliseconds: number): PlannedFault {
 	return {
-		atMilliseconds, kind: random.pick(faultKinds), target: random.below(targets), durationMilliseconds: shortestMilliseconds + random.below(longestMilliseconds - shortestMilliseconds),
+		atMilliseconds, kind: random.pick(faultKinds), target: random.below(targetBound), durationMilliseconds: shortestMilliseconds + random.below(longestMilliseconds - shortestMilliseconds),
 	};
 }
--- a/bench/soak/report.ts
+++ b/bench/soak/report.ts
@@ -23,7 +23,7 @@
 	readonly #classes = new Map<string, {sent: number; attained: number}>();
 
 	private constructor() {
-		// Made by `create` alone.
+		// Instances are made by `create`.
 	}
 
 	add(result: SeedResult): void {
@@ -60,8 +60,8 @@
 	}
 
 	#addCall(call: CallRecord): void {
-		const told = call.outcome === 'failed' ? `${call.verdict ?? 'no verdict'} (${call.code ?? 'no code'})` : call.outcome;
-		increment(this.#outcomes, call.callerLeft ? 'caller left' : told);
+		const failure = call.outcome === 'failed' ? `${call.verdict ?? 'no verdict'} (${call.code ?? 'no code'})` : call.outcome;
+		increment(this.#outcomes, call.callerLeft ? 'caller left' : failure);
 		if (call.outcome === 'whole') {
 			this.tokensDelivered += call.tokens;
 		}
@@ -77,7 +77,7 @@
 	}
 }
 
-/** What went wrong in one seed, and which faults came shortly before. */
+/** Prints the violations of one seed, each with the faults that preceded it. */
 export function printViolations(result: SeedResult): void {
 	for (const {rule, detail, at} of result.violations) {
 		const offset = Math.round(at - result.startedAt);
--- a/bench/soak/run-seed.ts
+++ b/bench/soak/run-seed.ts
@@ -20,7 +20,7 @@
 const faultsPerSecond = 2;
 const callsPerSecond = 25;
 
-/** One run: a fleet of its own, seeded calls and faults, then a calm, then the judgement. */
+/** Runs one seed on a fleet of its own: seeded calls and faults, recovery, then the checks. */
 export async function runSeed(seed: number, seconds: number, only: readonly FaultKind[] | undefined): Promise<SeedResult> {
 	const random = createRandom(seed);
 	const faults = planFaults(random, seconds * 1000, faultsPerSecond).filter(fault => only === undefined || only.includes(fault.kind));
@@ -58,11 +58,11 @@
 async function injectAll(world: World, callers: Callers, faults: readonly PlannedFault[], startedAt: number): Promise<void> {
 	await Promise.all(faults.map(async fault => {
 		await delay(Math.max(0, startedAt + fault.atMilliseconds - performance.now()));
-		await show(world, callers, fault);
+		await inject(world, callers, fault);
 	}));
 }
 
-async function show(world: World, callers: Callers, fault: PlannedFault): Promise<void> {
+async function inject(world: World, callers: Callers, fault: PlannedFault): Promise<void> {
 	const {kind, target} = fault;
 	if (kind === 'poison-request') {
 		callers.poison(target);
@@ -79,7 +79,7 @@
 
 const agreementMilliseconds = 10_000;
 
-/** Once the log is well, every entry must fold to the same catalogue. */
+/** Once the log works again, every entry must arrive at the same catalogue. */
 async function checkAgreement(world: World): Promise<Violation[]> {
 	const deadline = performance.now() + agreementMilliseconds;
 	for (;;) {
--- a/bench/soak/world.ts
+++ b/bench/soak/world.ts
@@ -5,7 +5,7 @@
 import {OffsetWatch, type Truth, type Violation} from './checker.js';
 
 export const soakModel = 'soak-7b';
-/** A prompt with this text crashes every engine that starts it. */
+/** A prompt that contains this text crashes every engine that starts it. */
 export const poisonText = 'POISON';
 
 const zones = ['zone-a', 'zone-b', 'zone-c'];
@@ -14,7 +14,7 @@
 const engineRestartMilliseconds = 400;
 const watchMilliseconds = 50;
 
-/** The processes of one run, the paths between them, and what the checker needs to know of them. */
+/** The processes of one run, the network paths between them, and what the checker needs about them. */
 export class World implements AsyncDisposable {
 	static async create(random: Random): Promise<World> {
 		const paths = new Map<string, FakePath>();
@@ -35,7 +35,7 @@
 		});
 		const world = new World(fleet, paths);
 		for (const {engine} of fleet.endpoints) {
-			world.adopt(engine);
+			world.addEngine(engine);
 		}
 
 		return world;
@@ -43,16 +43,16 @@
 
 	readonly fleet: LocalFleet;
 	readonly paths: Map<string, FakePath>;
-	/** Every engine that there ever was: what it ran counts after it is gone. */
+	/** All engines of the run, stopped ones included, since their runs still count. */
 	readonly engines = new Set<FakeEngine>();
 	readonly crashedEntries = new Map<string, number>();
 	readonly violations: Violation[] = [];
 	readonly offsets = OffsetWatch.create();
-	/** When the log was last told to be faulty; a change is timed only while it is well. */
-	logTroubledUntil = 0;
+	/** When the log's last fault ended, infinite during one. The time of a change counts only if the log works throughout. */
+	logFaultyUntil = 0;
 	nextEndpoint = endpointCount;
-	/** Parts that a fault is taking down or bringing back: another one leaves them alone. */
-	readonly busy = new Set<Record<string, unknown>>();
+	/** Processes that a fault is taking down or restarting; other such faults skip them. */
+	readonly inTransition = new Set<Record<string, unknown>>();
 	slowestChangeMilliseconds = 0;
 	readonly #watch: NodeJS.Timeout;
 
@@ -60,7 +60,7 @@
 		this.fleet = fleet;
 		this.paths = paths;
 		this.#watch = setInterval(() => {
-			this.#seeOffsets();
+			this.#observeOffsets();
 		}, watchMilliseconds);
 	}
 
@@ -82,7 +82,7 @@
 		return [...this.engines].reduce((total, engine) => total + engine.resumeMismatches, 0);
 	}
 
-	adopt(engine: FakeEngine): void {
+	addEngine(engine: FakeEngine): void {
 		this.engines.add(engine);
 		engine.faults.poison = poisonText;
 		engine.faults.restartMilliseconds = engineRestartMilliseconds;
@@ -92,8 +92,8 @@
 		return this.fleet.entries[target % this.fleet.entries.length]!;
 	}
 
-	/** Where the platform's balancer sends a call: to an entry that says it is ready, if there is one. */
-	balance(target: number): LocalEntry {
+	/** Chooses an entry as the platform's load balancer does: a ready one if there is any. */
+	pickEntry(target: number): LocalEntry {
 		const ready = this.fleet.entries.filter(({entry}) => entry.isReady);
 		return ready.length === 0 ? this.entry(target) : ready[target % ready.length]!;
 	}
@@ -106,7 +106,7 @@
 		return this.paths.get(this.endpoint(target).name)!;
 	}
 
-	/** Ends every fault and waits until each process has the newest catalogue. */
+	/** Ends every fault and restarts the engines. */
 	async heal(): Promise<void> {
 		for (const path of this.paths.values()) {
 			path.heal();
@@ -140,12 +140,12 @@
 		return total;
 	}
 
-	#seeOffsets(): void {
+	#observeOffsets(): void {
 		for (const {instance, follower} of this.fleet.entries) {
-			this.offsets.see(instance, follower.current().offset, performance.now());
+			this.offsets.observe(instance, follower.current().offset, performance.now());
 		}
 	}
 }
 
-/** What one call came to, for the log of a run. */
+/** The outcome of one call, for the log of a run. */
 export type CallOutcome = Pick<CallResult, 'outcome' | 'verdict' | 'code'>;
--- a/test/soak/checker.test.ts
+++ b/test/soak/checker.test.ts
@@ -15,7 +15,7 @@
 	return [...checkCalls(calls, known), ...checkKeys(calls, known), ...checkNotRun(calls, known)].map(violation => violation.rule);
 }
 
-tap.test('the checker finds each broken rule, and nothing in what is right', async t => {
+tap.test('the checker finds each violated rule, and nothing in valid results', async t => {
 	t.same(rules([call]), []);
 	t.same(rules([{...call, outcome: 'wrong'}]), ['own whole answer']);
 	t.same(rules([{...call, outcome: 'failed'}]), ['verdict']);
@@ -26,15 +26,15 @@
 	t.same(rules([{...call, outcome: 'broken'}], truth({crashedEntries: new Map([['e1', 5]])})), []);
 	t.same(rules([{...call, key: 'k'}], truth({runsOfKey: () => 2})), ['at most once']);
 	t.same(rules([{...call, key: 'k', outcome: 'failed', verdict: 'not-run'}]), ['not run']);
-	t.same(rules([call], truth({runsOfPrompt: () => 0})), ['truth'], 'a truth that knows no run checks nothing');
+	t.same(rules([call], truth({runsOfPrompt: () => 0})), ['truth'], 'a complete response without a recorded run is reported');
 	t.same(rules([{...call, endedAt: 100_000}]), ['ends']);
 	t.same(checkCrashes(truth({crashesByPrompt: new Map([['poison', 3], ['other', 2]])}), 0).length, 1);
 });
 
-tap.test('an offset that goes back is found', async t => {
+tap.test('an offset that decreases is found', async t => {
 	const watch = OffsetWatch.create();
 	for (const offset of [1, 2, 2, 1]) {
-		watch.see('e1', offset, 0);
+		watch.observe('e1', offset, 0);
 	}
 
 	t.equal(watch.violations.length, 1);
--- a/test/soak/gateway-checker.test.ts
+++ b/test/soak/gateway-checker.test.ts
@@ -3,7 +3,7 @@
 import {violations} from '../../bench/gateway-soak/checker.js';
 import {FakePlatformWorker} from '../../fakes/platform-worker.js';
 
-async function judge(record: Partial<Exchanged>, runs: number): Promise<string[]> {
+async function check(record: Partial<Exchanged>, runs: number): Promise<string[]> {
 	const worker = await FakePlatformWorker.create('w', 's');
 	const whole: Exchanged = {id: 'a', kind: 'release', status: 200, body: 'answer to a', isWhole: true, ...record};
 	for (let number = 0; number < runs; number++) {
@@ -20,22 +20,22 @@
 	return numbers.map(number => `id: ${number}\ndata: ${id} ${number}\n\n`).join('');
 }
 
-tap.test('the soak\'s checker sees each rule broken', async t => {
-	t.same(await judge({}, 1), []);
-	t.match(await judge({}, 2), [/run more than once/v]);
-	t.same(await judge({kind: 'lookup'}, 2), [], 'a lookup may run again');
-	t.match(await judge({status: 503}, 1), [/said not to have run/v]);
-	t.same(await judge({status: 503}, 0), []);
-	t.match(await judge({body: 'answer to b'}, 1), [/not its own/v]);
-	t.same(await judge({body: 'answer', isWhole: false}, 1), []);
+tap.test('the gateway soak\'s checker finds each violated rule', async t => {
+	t.same(await check({}, 1), []);
+	t.match(await check({}, 2), [/run more than once/v]);
+	t.same(await check({kind: 'lookup'}, 2), [], 'a lookup may run again');
+	t.match(await check({status: 503}, 1), [/said not to have run/v]);
+	t.same(await check({status: 503}, 0), []);
+	t.match(await check({body: 'answer to b'}, 1), [/not its own/v]);
+	t.same(await check({body: 'answer', isWhole: false}, 1), []);
 });
 
-tap.test('the soak\'s checker sees gaps, repeats and foreign events', async t => {
+tap.test('the gateway soak\'s checker finds gaps, repeats and foreign events', async t => {
 	const stream: Partial<Exchanged> = {kind: 'question'};
-	t.same(await judge({...stream, body: events('a', [1, 2, 3, 4, 5, 6])}, 1), []);
-	t.same(await judge({...stream, body: events('a', [1, 2]), isWhole: false}, 1), []);
-	t.match(await judge({...stream, body: events('a', [1, 2])}, 1), [/a stream/v]);
-	t.match(await judge({...stream, body: events('a', [1, 3, 4, 5, 6, 7])}, 1), [/a stream/v]);
-	t.match(await judge({...stream, body: events('a', [1, 1, 2, 3, 4, 5])}, 1), [/a stream/v]);
-	t.match(await judge({...stream, body: events('b', [1, 2, 3, 4, 5, 6])}, 1), [/a stream/v]);
+	t.same(await check({...stream, body: events('a', [1, 2, 3, 4, 5, 6])}, 1), []);
+	t.same(await check({...stream, body: events('a', [1, 2]), isWhole: false}, 1), []);
+	t.match(await check({...stream, body: events('a', [1, 2])}, 1), [/a stream/v]);
+	t.match(await check({...stream, body: events('a', [1, 3, 4, 5, 6, 7])}, 1), [/a stream/v]);
+	t.match(await check({...stream, body: events('a', [1, 1, 2, 3, 4, 5])}, 1), [/a stream/v]);
+	t.match(await check({...stream, body: events('b', [1, 2, 3, 4, 5, 6])}, 1), [/a stream/v]);
 });
--- a/tools/bundle.mjs
+++ b/tools/bundle.mjs
@@ -1,7 +1,7 @@
 /**
- * Bundles the gateway into one script under target/, and stores what the engine compiled of it beside
- * it. A start then reads two files and compiles next to nothing: after a power loss of all instances,
- * every tenth of a second of start is one without service.
+ * Bundles the gateway into one script under target/, and stores V8's code cache for it beside it. A start
+ * then reads two files and compiles almost nothing. Start time matters because after a power loss of all
+ * instances there is no service until they have started.
  */
 import {execFileSync} from 'node:child_process';
 import {rmSync, writeFileSync} from 'node:fs';
@@ -11,21 +11,21 @@
 
 const script = 'target/cassiaflow-gateway.cjs';
 const cache = 'target/cassiaflow-gateway.cache';
-/** The flags of deploy/system.toml: code compiled under others is refused. */
+/** The flags in deploy/system.toml. V8 rejects a code cache that was created under other flags. */
 const flags = ['--max-old-space-size=120', '--max-semi-space-size=8'];
 
 /**
- * Parts of libraries that the gateway never calls, and whose evaluation would delay each start: what pushes metrics or gathers them over a cluster or of the
- * process, what reads and writes histograms, and optional parts that are found by name. Libraries do without the optional ones.
+ * Library modules that the gateway never calls and whose evaluation would delay each start: pushing metrics, collecting them over a cluster or of the
+ * process, reading and writing histogram logs, and optional dependencies, without which the libraries work too.
  */
-/* eslint-disable require-unicode-regexp -- esbuild hands these to another engine, which knows no flags */
+/* eslint-disable require-unicode-regexp -- esbuild passes these to Go's regexp engine, which has no such flags */
 const unused = {
 	emptied: /prom-client\/lib\/(?:pushgateway|cluster|defaultMetrics)\.js$|hdr-histogram-js\/dist\/(?:HistogramLogWriter|HistogramLogReader|Recorder|wasm)\.js$/,
 	absent: /^(?:dtrace-provider|mv|safe-json-stringify|source-map-support|cbor-extract)$/,
 	any: /.*/,
 };
 /* eslint-enable require-unicode-regexp */
-const leaveOut = {
+const leaveOutUnused = {
 	name: 'leave-out',
 	setup(build) {
 		build.onLoad({filter: unused.emptied}, () => ({contents: 'module.exports = {};', loader: 'js'}));
@@ -41,20 +41,20 @@
 	platform: 'node',
 	format: 'cjs',
 	target: 'node20',
-	// Less to read at each start; names stay and lines are short, so that stack traces can be read.
+	// Less to read at each start. Names are kept and lines are short, so that stack traces stay readable.
 	minifySyntax: true,
 	minifyWhitespace: true,
 	lineLimit: 200,
 	legalComments: 'none',
 	logLevel: 'warning',
-	plugins: [leaveOut],
+	plugins: [leaveOutUnused],
 });
 writeFileSync('target/cassiaflow-gateway.mjs', `import {readFileSync} from 'node:fs';
 import {createRequire} from 'node:module';
 import process from 'node:process';
 import vm from 'node:vm';
 
-// A hangup that comes while the program still loads must not end it.
+// A SIGHUP (reload) that arrives while the program is loading must not end it.
 process.on('SIGHUP', () => undefined);
 const file = new URL('cassiaflow-gateway.cjs', import.meta.url);
 const read = name => {
@@ -71,11 +71,11 @@
 const module = {exports: {}};
 script.runInThisContext()(createRequire(import.meta.url), module, module.exports);
 `);
-// A start on loopback without a store, so that what a start runs is compiled and stored too.
+// Starts the gateway on loopback without a store, so that the code cache includes the functions that run at start.
 const settings = `${tmpdir()}/cassiaflow-bundle-${process.pid}.json`;
-const local = '127.0.0.1:0';
+const anyPort = '127.0.0.1:0';
 writeFileSync(settings, JSON.stringify({
-	instance: 'bundle', availabilityZone: 'none', callerAddress: local, adminAddress: local, peerAddress: local, storeAddress: '127.0.0.1:9', memoryMegabytes: 100, logLevel: 'fatal',
+	instance: 'bundle', availabilityZone: 'none', callerAddress: anyPort, adminAddress: anyPort, peerAddress: anyPort, storeAddress: '127.0.0.1:9', memoryMegabytes: 100, logLevel: 'fatal',
 }));
 execFileSync(process.execPath, [...flags, '--input-type=module', '--eval', `
 import {writeFileSync} from 'node:fs';
--- a/tools/ensure-installed.mjs
+++ b/tools/ensure-installed.mjs
@@ -1,4 +1,4 @@
-/** Installs the declared libraries, just as the lock file names them, if they are missing or older than it. */
+/** Installs the dependencies from the lock file if they are missing or older than it. */
 import {existsSync, statSync} from 'node:fs';
 import {spawnSync} from 'node:child_process';
 import process from 'node:process';
--- a/tools/run-tests.mjs
+++ b/tools/run-tests.mjs
@@ -1,14 +1,14 @@
 /**
  * Runs the compiled test files with tap and prints `N passed, N failed` last. Files named in
- * KNOWN-RED.txt run apart: they are printed and do not decide the exit code.
- * Arguments, if any, choose files by a part of their name.
+ * KNOWN-RED.txt run separately: their results are printed and do not affect the exit code.
+ * Arguments, if any, select files by a part of their path.
  */
 import {spawnSync} from 'node:child_process';
 import {existsSync, readdirSync, readFileSync} from 'node:fs';
 import process from 'node:process';
 
 const testFolder = 'dist/test';
-const chosen = process.argv.slice(2);
+const selected = process.argv.slice(2);
 
 function findTests() {
 	const files = readdirSync(testFolder, {recursive: true});
@@ -28,7 +28,7 @@
 	return lines.filter(line => line.startsWith('test/')).map(line => `dist/${line.split(/[\s:]/v)[0].replace(/\.ts$/v, '.js')}`);
 }
 
-/** Assertions of each file, so that two runs can be compared where their sums differ. */
+/** Counts the assertions of each file, so that two runs whose totals differ can be compared. */
 function countByFile(lines) {
 	const counts = [];
 	let count = 0;
@@ -75,12 +75,12 @@
 		}
 	}
 
-	const certainFailed = failedFiles.length > 0 || result.status !== 0 ? Math.max(failed, 1) : 0;
-	return {passed: assertions.length - failed, failed: certainFailed};
+	const failedAtLeast = failedFiles.length > 0 || result.status !== 0 ? Math.max(failed, 1) : 0;
+	return {passed: assertions.length - failed, failed: failedAtLeast};
 }
 
 const red = new Set(knownRed());
-const all = findTests().filter(file => chosen.length === 0 || chosen.some(part => file.includes(part)));
+const all = findTests().filter(file => selected.length === 0 || selected.some(part => file.includes(part)));
 const green = all.filter(file => !red.has(file));
 const redFiles = all.filter(file => red.has(file));
 for (const file of redFiles) {
--- a/tools/settings-page.ts
+++ b/tools/settings-page.ts
@@ -5,7 +5,7 @@
 	entrySettings, flagOf, type Setting, sideSettings, variableOf,
 } from '../src/bin/settings/index.js';
 
-type Described = {
+type ProgramDefinition = {
 	readonly program: string;
 	readonly summary: string;
 	readonly settings: Readonly<Record<string, Setting>>;
@@ -21,23 +21,23 @@
 every binary.
 `;
 
-/** The page as it should be. */
+/** Renders the settings page from the definitions. */
 export function renderSettingsPage(): string {
 	return [preface, ...[entrySettings, sideSettings].map(definition => renderProgram(definition))].join('\n');
 }
 
-function renderProgram({program, summary, settings}: Described): string {
+function renderProgram({program, summary, settings}: ProgramDefinition): string {
 	const rows = Object.entries(settings).map(([name, setting]) => `| \`--${flagOf(name)}\` | \`${variableOf(name)}\` | ${defaultOf(setting)} | ${setting.description} |`);
 	return [`## ${program}`, '', summary, '', '| flag | variable | default | meaning |', '|---|---|---|---|', ...rows, ''].join('\n');
 }
 
 function defaultOf(setting: Setting): string {
-	const fallback = setting.schema.safeParse(undefined);
-	if (!fallback.success) {
+	const parsed = setting.schema.safeParse(undefined);
+	if (!parsed.success) {
 		return 'needed';
 	}
 
-	return fallback.data === undefined ? 'none' : `\`${JSON.stringify(fallback.data).replaceAll('"', '')}\``;
+	return parsed.data === undefined ? 'none' : `\`${JSON.stringify(parsed.data).replaceAll('"', '')}\``;
 }
 
 if (import.meta.filename === process.argv[1]) {
