--- a/bench/control/count-bytes.ts
+++ b/bench/control/count-bytes.ts
@@ -1,6 +1,6 @@
 /**
- * Loaded into a measured process before its own code: on SIGUSR2 it tells the bytes that its sockets
- * have carried. The kernel's counts of reads and writes would add the wake-ups of the event loop.
+ * Preloaded into a measured process: on SIGUSR2 it writes the number of bytes that its sockets have
+ * carried. The kernel's counts of reads and writes would include the wake-ups of the event loop.
  */
 import diagnostics from 'node:diagnostics_channel';
 import {type Socket} from 'node:net';
--- a/bench/control/index.ts
+++ b/bench/control/index.ts
@@ -8,11 +8,11 @@
 type Role = 'entry' | 'side';
 type Factor = 'sides' | 'entries' | 'catalogueEntries' | 'changesPerSecond';
 type Sweep = {readonly role: Role; readonly factor: Factor; readonly values: readonly number[]};
-type Reading = Rates & {readonly messagesPerSecond: number};
+type Measurement = Rates & {readonly messagesPerSecond: number};
 type Options = {seconds: number; role: string; onlyLetter: boolean};
 
-const quiet: Setting = {entries: 0, sides: 0, catalogueEntries: 19, changesPerSecond: 0};
-const letterSize: Setting = {entries: 350, sides: 600, catalogueEntries: 899, changesPerSecond: 1700 / 86_400};
+const emptyFleet: Setting = {entries: 0, sides: 0, catalogueEntries: 19, changesPerSecond: 0};
+const referenceFleet: Setting = {entries: 350, sides: 600, catalogueEntries: 899, changesPerSecond: 1700 / 86_400};
 const settleMilliseconds = 4000;
 const budget = {core: 0.044, memoryBytes: 256e6, bytesPerSecond: 6000};
 
@@ -26,7 +26,7 @@
 	{role: 'side', factor: 'changesPerSecond', values: [0, 1, 2, 4]},
 ];
 
-/** What an idle process spends on control, as lines over what surrounds it. */
+/** Measures the control overhead of an idle process, and fits lines over the size of the fleet around it. */
 export const controlCommand: CommandModule<unknown, Options> = {
 	command: 'control',
 	describe: 'processor time, bytes and memory for control, of an entry and a side, over the size of the fleet',
@@ -41,7 +41,7 @@
 		}
 
 		for (const measured of (['entry', 'side'] as const).filter(candidate => role === 'both' || candidate === role)) {
-			const rates = await readPoint(measured, letterSize, seconds);
+			const rates = await measurePoint(measured, referenceFleet, seconds);
 			console.log(`${measured} at letter 1's size: ${describe(rates)}`);
 			console.log(`  budget: core ${(budget.core * 100).toFixed(1)}%, ${budget.bytesPerSecond} B/s, ${budget.memoryBytes / 1e6} MB: ${isWithin(rates) ? 'kept' : 'BROKEN'}`);
 		}
@@ -49,9 +49,9 @@
 };
 
 async function runSweep({role, factor, values}: Sweep, seconds: number): Promise<void> {
-	const points: Array<{x: number; rates: Reading}> = [];
+	const points: Array<{x: number; rates: Measurement}> = [];
 	for (const value of values) {
-		points.push({x: value, rates: await readPoint(role, {...quiet, [factor]: value}, seconds)});
+		points.push({x: value, rates: await measurePoint(role, {...emptyFleet, [factor]: value}, seconds)});
 	}
 
 	const table = new Table({head: [`${role}: ${factor}`, 'core %', 'B/s', 'frames/s', 'memory MB'], style: {head: [], border: []}});
@@ -59,7 +59,7 @@
 		table.push([x, (rates.core * 100).toFixed(2), rates.bytesPerSecond.toFixed(0), rates.messagesPerSecond.toFixed(1), (rates.memoryBytes / 1e6).toFixed(1)]);
 	}
 
-	const line = (read: (rates: Reading) => number): string => {
+	const line = (read: (rates: Measurement) => number): string => {
 		const fitted = fitLine(points.map(({x, rates}) => ({x, y: read(rates)})));
 		return `${fitted.slope.toPrecision(3)} ± ${fitted.spread.toPrecision(2)}`;
 	};
@@ -68,7 +68,7 @@
 	console.log(table.toString());
 }
 
-async function readPoint(role: Role, setting: Setting, seconds: number): Promise<Reading> {
+async function measurePoint(role: Role, setting: Setting, seconds: number): Promise<Measurement> {
 	await using surroundings = await Surroundings.create(setting);
 	surroundings.listEntries();
 	const started = await start(role, surroundings);
@@ -90,7 +90,7 @@
 	return started;
 }
 
-function describe(rates: Reading): string {
+function describe(rates: Measurement): string {
 	return `core ${(rates.core * 100).toFixed(2)}%, ${rates.bytesPerSecond.toFixed(0)} B/s, ${rates.messagesPerSecond.toFixed(1)} frames/s, ${(rates.memoryBytes / 1e6).toFixed(1)} MB`;
 }
 
--- a/bench/control/slopes.ts
+++ b/bench/control/slopes.ts
@@ -1,18 +1,18 @@
-/** A line through points by least squares, and how far off the points are from it. */
+/** A least-squares line through points, and the standard error of its slope. */
 export type Line = {readonly start: number; readonly slope: number; readonly spread: number};
 
 export type Point = {readonly x: number; readonly y: number};
 
-/** Fits a line; `spread` is the standard error of the slope. */
+/** Fits a line to points; `spread` is the standard error of the slope. */
 export function fitLine(points: readonly Point[]): Line {
 	const count = points.length;
 	const meanX = sum(points.map(({x}) => x)) / count;
 	const meanY = sum(points.map(({y}) => y)) / count;
-	const across = sum(points.map(({x}) => (x - meanX) ** 2));
-	const slope = sum(points.map(({x, y}) => (x - meanX) * (y - meanY))) / across;
+	const squaredDeviations = sum(points.map(({x}) => (x - meanX) ** 2));
+	const slope = sum(points.map(({x, y}) => (x - meanX) * (y - meanY))) / squaredDeviations;
 	const start = meanY - (slope * meanX);
-	const residue = sum(points.map(({x, y}) => (y - start - (slope * x)) ** 2));
-	return {start, slope, spread: Math.sqrt(residue / Math.max(count - 2, 1) / across)};
+	const squaredResiduals = sum(points.map(({x, y}) => (y - start - (slope * x)) ** 2));
+	return {start, slope, spread: Math.sqrt(squaredResiduals / Math.max(count - 2, 1) / squaredDeviations)};
 }
 
 function sum(values: readonly number[]): number {
--- a/bench/control/subject.ts
+++ b/bench/control/subject.ts
@@ -4,14 +4,14 @@
 import process from 'node:process';
 import {createInterface, type Interface} from 'node:readline';
 
-/** What a process has used since it started. */
+/** Resources that a process has used since its start. */
 type Usage = {readonly processorSeconds: number; readonly bytes: number; readonly at: number};
 
-/** What a process uses per second, and holds. */
+/** Resource use of a process: rates over a time span, and memory at its end. */
 export type Rates = {
-	/** Part of one core. */
+	/** Processor time as a fraction of one core. */
 	readonly core: number;
-	/** Bytes read and written a second, over all of its sockets. */
+	/** Bytes read and written per second over all sockets. */
 	readonly bytesPerSecond: number;
 	readonly memoryBytes: number;
 };
@@ -19,12 +19,12 @@
 const clockTicksPerSecond = 100;
 const bytesPerKibibyte = 1024;
 
-/** One of the product's binaries, running by itself, measured from outside by what the kernel counts. */
+/** One of the product's binaries as a process of its own, measured from outside. */
 export class Subject implements AsyncDisposable {
-	/** Starts it and waits for its line `Listening.`; the line's fields come back. */
+	/** Starts the binary, waits for its log line `Listening.` and returns the line's fields. */
 	static async start(binary: string, flags: Readonly<Record<string, string>>): Promise<{subject: Subject; line: Record<string, unknown>}> {
-		const words = Object.entries(flags).map(([name, value]) => value === '' ? `--${name}` : `--${name}=${value}`);
-		const child = spawn(process.execPath, ['--import', './dist/bench/control/count-bytes.js', `dist/src/bin/${binary}.js`, ...words], {stdio: ['ignore', 'ignore', 'pipe']});
+		const flagWords = Object.entries(flags).map(([name, value]) => value === '' ? `--${name}` : `--${name}=${value}`);
+		const child = spawn(process.execPath, ['--import', './dist/bench/control/count-bytes.js', `dist/src/bin/${binary}.js`, ...flagWords], {stdio: ['ignore', 'ignore', 'pipe']});
 		const subject = new Subject(child);
 		const line = await subject.#nextLine('Listening');
 		return {subject, line};
@@ -38,7 +38,7 @@
 		this.#lines = createInterface({input: child.stderr!});
 	}
 
-	/** Takes a reading at both ends of a span. */
+	/** Measures the resource use during `span`. */
 	async measure(span: () => Promise<void>): Promise<Rates> {
 		const before = await this.#usage();
 		await span();
@@ -74,17 +74,17 @@
 		return Number(socketBytes);
 	}
 
-	/** The fields of the next line that holds the word. */
+	/** Returns the fields of the next log line that contains the word. */
 	async #nextLine(word: string): Promise<Record<string, unknown>> {
 		return new Promise(resolve => {
-			const look = (text: string): void => {
+			const onLine = (text: string): void => {
 				if (text.includes(word)) {
-					this.#lines.off('line', look);
+					this.#lines.off('line', onLine);
 					resolve(JSON.parse(text) as Record<string, unknown>);
 				}
 			};
 
-			this.#lines.on('line', look);
+			this.#lines.on('line', onLine);
 		});
 	}
 
--- a/bench/control/surroundings.ts
+++ b/bench/control/surroundings.ts
@@ -5,7 +5,7 @@
 import {dial, Listener, protocolVersion, type Connection, type Message} from '../../src/wire/index.js';
 import {FakeEngine, FakeLog, FakeMembers} from '../../fakes/index.js';
 
-/** What the measured process is surrounded by. */
+/** The size of the fleet around the measured process, and its rate of catalogue changes. */
 export type Setting = {
 	readonly entries: number;
 	readonly sides: number;
@@ -15,13 +15,13 @@
 
 const models = 19;
 const zones = ['lima-a', 'lima-b', 'lima-c', 'franken-a', 'franken-b', 'franken-c'];
-/** The stand-ins beat as processes with this many connections do, whatever their own number. */
-const letterConnections = 350;
+/** The stand-ins send heartbeats at the interval of processes with this many connections, whatever their actual number. */
+const heartbeatConnections = 350;
 const heartbeatTickMilliseconds = 500;
 const loopback = '127.0.0.1';
 const entriesPerChange = 200;
 
-/** Stand-ins of the platform and of all other processes; they speak the product's frames and do nothing else. */
+/** Stand-ins for the platform and all other processes. They send handshakes and heartbeats in the product's protocol and nothing else. */
 export class Surroundings implements AsyncDisposable {
 	static async create(setting: Setting): Promise<Surroundings> {
 		const surroundings = new Surroundings(setting, await FakeLog.create(), await FakeMembers.create(), await FakeEngine.create({models: ['model-0']}));
@@ -48,19 +48,19 @@
 		this.#client = HttpLogClient.create({baseUrl: log.url, timeoutMilliseconds: 5000});
 		this.#timer = setInterval(() => {
 			for (const connection of this.#connections) {
-				if (connection.takeHeartbeat(letterConnections)) {
+				if (connection.takeHeartbeat(heartbeatConnections)) {
 					connection.send({type: 'heartbeat', catalogueOffset: this.#revision});
 				}
 			}
 		}, heartbeatTickMilliseconds);
 	}
 
-	/** Frames that the measured process and the stand-ins have sent each other. */
+	/** Number of frames exchanged between the measured process and the stand-ins. */
 	get messages(): number {
 		return [...this.#connections].reduce((total, {counts}) => total + counts.sentMessages + counts.receivedMessages, 0);
 	}
 
-	/** Sides for a measured entry to find: each listens, greets and sends heartbeats. */
+	/** Adds the sides for a measured entry: each listens, sends its hello and state, and then heartbeats. */
 	async addSides(): Promise<void> {
 		for (let index = 0; index < this.#setting.sides; index++) {
 			const zone = zones[index % zones.length]!;
@@ -68,7 +68,7 @@
 			const endpoint = `engine-${index}`;
 			const listener = await Listener.create({
 				host: loopback, port: 0, security: {type: 'plaintext'}, onConnection: connection => {
-					this.#greet(connection, {type: 'hello', protocol: protocolVersion, role: 'side', instance: `side-${index}`, zone, endpoint, targets: [target], catalogueOffset: this.#revision});
+					this.#startConnection(connection, {type: 'hello', protocol: protocolVersion, role: 'side', instance: `side-${index}`, zone, endpoint, targets: [target], catalogueOffset: this.#revision});
 					connection.send({type: 'state', phase: 'serving', slots: 8, running: 0, waiting: [0, 0, 0], tokenMilliseconds: 20});
 				},
 			});
@@ -77,22 +77,22 @@
 		}
 	}
 
-	/** Lines of other processes in the membership list, which nobody answers for. */
+	/** Adds entries to the membership list that do not exist as processes. */
 	listEntries(): void {
 		for (let index = 0; index < this.#setting.entries; index++) {
 			this.members.set({instance: `entry-${index}`, role: 'entry', address: `${loopback}:1`, zone: zones[index % zones.length]!, state: 'live'});
 		}
 	}
 
-	/** Entries that connect to a measured side. */
+	/** Connects stand-in entries to a measured side. */
 	async connectEntries(address: string): Promise<void> {
 		for (let index = 0; index < this.#setting.entries; index++) {
 			const connection = await dial(address, {type: 'plaintext'});
-			this.#greet(connection, {type: 'hello', protocol: protocolVersion, role: 'entry', instance: `entry-${index}`, zone: zones[index % zones.length]!, catalogueOffset: this.#revision});
+			this.#startConnection(connection, {type: 'hello', protocol: protocolVersion, role: 'entry', instance: `entry-${index}`, zone: zones[index % zones.length]!, catalogueOffset: this.#revision});
 		}
 	}
 
-	/** Publishes changes at the setting's rate until the span ends. */
+	/** Publishes catalogue changes at the configured rate for the given time. */
 	async changeFor(milliseconds: number): Promise<void> {
 		const interval = 1000 / this.#setting.changesPerSecond;
 		const until = performance.now() + milliseconds;
@@ -114,7 +114,7 @@
 		await Promise.all([...this.#listeners, this.#client, this.log, this.members, this.engine].map(async part => part[Symbol.asyncDispose]()));
 	}
 
-	#greet(connection: Connection, hello: Message): void {
+	#startConnection(connection: Connection, hello: Message): void {
 		if (this.#isClosed) {
 			connection.close('the bench ends');
 			return;
@@ -127,7 +127,7 @@
 
 	* #read(connection: Connection): Body<void> {
 		while ((yield * receive(connection.incoming)) !== undefined) {
-			// A stand-in takes what it is sent, and answers nothing.
+			// A stand-in ignores what it receives.
 		}
 
 		this.#connections.delete(connection);
@@ -156,7 +156,7 @@
 	return {kind: 'model', name: `model-${index}`, owner: 'bench', version: '1', replicas: 0, adapters: []};
 }
 
-/** A workspace with three classes: four entries, kept together so that each change is valid. */
+/** A workspace with three classes. The four entries belong in one change, so that each change is valid. */
 function workspaceEntries(name: string): Entry[] {
 	const classes = ['answer', 'order', 'chart'].map((className, tier): Entry => ({
 		kind: 'class', name: `${name}/${className}`, owner: 'bench', tier: tier as 0 | 1 | 2, firstTokenMilliseconds: 430, betweenTokensMilliseconds: 58,
--- a/bench/decisions/figures.ts
+++ b/bench/decisions/figures.ts
@@ -2,28 +2,28 @@
 import {type PlanName, plans, workspaces} from './plan.js';
 import {type RunRecord, type Sample} from './run.js';
 
-/** The figures of one class, as its callers saw them. Times are milliseconds. */
+/** Results of one class, as seen by its callers. Times are milliseconds. */
 export type ClassFigures = {
 	readonly plan: PlanName;
 	readonly sent: number;
-	/** Part of all that was sent that got a whole answer within both targets of its class. */
+	/** Fraction of all requests sent that received a complete response within both targets of the class. */
 	readonly attainment: number;
 	readonly firstToken: Percentiles;
 	readonly betweenTokens: Percentiles;
-	/** The longest time to a first token or to a refusal. */
+	/** The longest time to the first token or to a refusal. */
 	readonly worstWait: number;
-	/** Part of those sent from two seconds after a burst on that were well served. */
+	/** Attainment of the requests sent later than two seconds after the end of a burst. */
 	readonly recovered: number | undefined;
 	readonly refusals: Readonly<Record<string, number>>;
 };
 export type Percentiles = {readonly p50: number; readonly p95: number; readonly p99: number};
 
-/** The figures of one run. */
+/** Results of one run. */
 export type RunFigures = {
 	readonly classes: readonly ClassFigures[];
-	/** Tokens a second in answers that met their targets, while the load lasted. */
+	/** Tokens per second in responses that met their targets, during the load. */
 	readonly goodput: number;
-	/** Part of the tokens produced that reached no caller as a part of a whole answer. */
+	/** Fraction of the produced tokens that are not attainmentOf of a complete response. */
 	readonly wasted: number;
 	readonly jain: number;
 	readonly wrong: number;
@@ -35,7 +35,7 @@
 const rampMilliseconds = 500;
 const recoveryMilliseconds = 2000;
 
-/** Works the figures out. */
+/** Computes the results of a run. */
 export function figuresOf(record: RunRecord): RunFigures {
 	const {pattern, samples} = record;
 	const used = (Object.keys(plans) as PlanName[]).filter(plan => samples.some(({planned}) => planned.plan === plan));
@@ -65,16 +65,16 @@
 	return {
 		plan,
 		sent: samples.length,
-		attainment: part(samples),
+		attainment: attainmentOf(samples),
 		firstToken,
 		betweenTokens,
 		worstWait: Math.max(...samples.map(({result}) => result.firstTokenMilliseconds ?? result.milliseconds)),
-		recovered: burstEnd === undefined ? undefined : part(after),
+		recovered: burstEnd === undefined ? undefined : attainmentOf(after),
 		refusals,
 	};
 }
 
-function part(samples: readonly Sample[]): number {
+function attainmentOf(samples: readonly Sample[]): number {
 	return samples.length === 0 ? 1 : samples.filter(sample => isAttained(sample)).length / samples.length;
 }
 
@@ -84,7 +84,7 @@
 	return result.outcome === 'whole' && result.firstTokenMilliseconds! <= plan.firstTokenMilliseconds && mean <= plan.betweenTokensMilliseconds;
 }
 
-/** Tokens within the load's time, each counted when it came: ends of long answers are not lumped together. */
+/** Tokens per second during the load. Each token counts at its arrival time, so that long responses don't count as a lump at their end. */
 function goodputOf(samples: readonly Sample[], milliseconds: number): number {
 	let tokens = 0;
 	for (const {sentAt, result} of samples) {
@@ -104,23 +104,23 @@
 }
 
 /**
- * Jain's index between workspaces of like weight, over what each got as a part of its max-min fair
- * share: who asked for less than an even share is judged by what it asked for.
+ * Jain's fairness index between workspaces of equal weight, over the fraction that each received of its max-min
+ * fair share. For a workspace that requested for less than an even share, the fair share is what it requested for.
  */
 function jainOf(samples: readonly Sample[]): number {
-	const asked = workspaces.map(workspace => sum(samples.filter(({planned}) => planned.workspace === workspace).map(({planned}) => planned.tokens)));
-	const got = workspaces.map(workspace => sum(samples.filter(({planned, result}) => planned.workspace === workspace && result.outcome === 'whole').map(({result}) => result.tokens)));
-	const fair = fairShares(asked, sum(got));
-	const parts = got.map((tokens, index) => tokens / Math.max(1, fair[index]!)).filter((_, index) => asked[index]! > 0);
-	return (sum(parts) ** 2) / (parts.length * sum(parts.map(value => value ** 2)));
+	const requested = workspaces.map(workspace => sum(samples.filter(({planned}) => planned.workspace === workspace).map(({planned}) => planned.tokens)));
+	const received = workspaces.map(workspace => sum(samples.filter(({planned, result}) => planned.workspace === workspace && result.outcome === 'whole').map(({result}) => result.tokens)));
+	const fair = fairShares(requested, sum(received));
+	const shareFractions = received.map((tokens, index) => tokens / Math.max(1, fair[index]!)).filter((_, index) => requested[index]! > 0);
+	return (sum(shareFractions) ** 2) / (shareFractions.length * sum(shareFractions.map(value => value ** 2)));
 }
 
-function fairShares(asked: readonly number[], whole: number): readonly number[] {
-	const shares = asked.map(() => 0);
+function fairShares(requested: readonly number[], whole: number): readonly number[] {
+	const shares = requested.map(() => 0);
 	let left = whole;
-	const order = asked.map((_, index) => index).toSorted((one, other) => asked[one]! - asked[other]!);
-	for (const [place, index] of order.entries()) {
-		shares[index] = Math.min(asked[index]!, left / (asked.length - place));
+	const order = requested.map((_, index) => index).toSorted((one, other) => requested[one]! - requested[other]!);
+	for (const [position, index] of order.entries()) {
+		shares[index] = Math.min(requested[index]!, left / (requested.length - position));
 		left -= shares[index];
 	}
 
--- a/bench/decisions/full.ts
+++ b/bench/decisions/full.ts
@@ -6,8 +6,8 @@
 const warmUpMilliseconds = 500;
 
 /**
- * Tokens a second that the same engines deliver when kept just full: as many requests at once as keep
- * the tightest target, each followed by the next at once, without queue, router or refusal.
+ * Measures the tokens per second that the same engines deliver at full load: the largest number of concurrent
+ * requests that meets the tightest target, each followed immediately by the next, without queue, router or refusal.
  */
 export async function measureFull(milliseconds: number, seed: number): Promise<number> {
 	const random = createRandom(seed);
@@ -21,7 +21,7 @@
 	await pause(milliseconds);
 	const rate = (produced(engines) - before) * 1000 / (performance.now() - from);
 	await Promise.all(loops);
-	await Promise.all([...clients, ...engines].map(async part => part[Symbol.asyncDispose]()));
+	await Promise.all([...clients, ...engines].map(async resource => resource[Symbol.asyncDispose]()));
 	return rate;
 }
 
--- a/bench/decisions/index.ts
+++ b/bench/decisions/index.ts
@@ -5,17 +5,17 @@
 import {patterns} from './patterns.js';
 import {plotAttainment} from './plot.js';
 import {renderDetail, renderSummary, toMarkdown} from './report.js';
-import {type Done, runAll, type Wanted} from './schedule.js';
+import {type FinishedRun, runAll, type RunSpecification} from './schedule.js';
 import {variants} from './variants.js';
 
 type Options = {pattern: string[]; variant: string[]; seed: number; seeds: number; all: boolean; jobs: number; output: string; plot: string};
 
 const fullMilliseconds = 3000;
 
-/** `bench decisions`: the product's decisions under load beside the baselines. */
+/** `bench decisions`: the product's decisions under load compared with baselines. */
 export const decisionsCommand: CommandModule<unknown, Options> = {
 	command: 'decisions',
-	describe: 'Whom to serve, who waits and who is refused, beside the baselines',
+	describe: 'Which requests are served, wait or are refused, compared with baselines',
 	builder: yargs => (yargs as Argv<Options>)
 		.option('pattern', {type: 'array', string: true, choices: patterns.map(({name}) => name), default: [], describe: 'Patterns of load'})
 		.option('variant', {type: 'array', string: true, choices: variants.map(({name}) => name), default: [], describe: 'What to measure; all unless given'})
@@ -49,13 +49,13 @@
 	process.exitCode = ordered.some(({figures}) => figures.wrong > 0 || figures.violations > 0) ? 1 : 0;
 }
 
-function plan(names: readonly string[], options: Options): readonly Wanted[] {
+function plan(names: readonly string[], options: Options): readonly RunSpecification[] {
 	const chosen = options.variant.length === 0 ? variants.map(({name}) => name) : options.variant;
 	const seeds = Array.from({length: options.seeds}, (_, index) => options.seed + index);
 	return names.flatMap(pattern => chosen.flatMap(variant => seeds.map(seed => ({pattern, variant, seed}))));
 }
 
-function print(done: readonly Done[], full: number, options: Options): void {
+function print(done: readonly FinishedRun[], full: number, options: Options): void {
 	if (!options.all && options.seeds === 1) {
 		console.log(renderDetail(done, full));
 	}
--- a/bench/decisions/plot.ts
+++ b/bench/decisions/plot.ts
@@ -1,16 +1,16 @@
 import {parse, View} from 'vega';
 import {type PlanName, plans} from './plan.js';
-import {type Done} from './schedule.js';
+import {type FinishedRun} from './schedule.js';
 
 type Bar = {readonly pattern: string; readonly variant: string; readonly attainment: number};
 
-/** Draws the attainment of one class, mean over the seeds: a group of bars for each pattern, the variants side by side. */
-export async function plotAttainment(done: readonly Done[], plan: PlanName): Promise<string> {
+/** Draws the mean attainment of one class over the seeds: a group of bars for each pattern, one bar per variant. */
+export async function plotAttainment(done: readonly FinishedRun[], plan: PlanName): Promise<string> {
 	const view = new View(parse(describe(barsOf(done, plan), `Attainment of class ${plan}, tier ${plans[plan].tier}`)), {renderer: 'none'});
 	return view.toSVG();
 }
 
-function barsOf(done: readonly Done[], plan: PlanName): readonly Bar[] {
+function barsOf(done: readonly FinishedRun[], plan: PlanName): readonly Bar[] {
 	const keys = [...new Set(done.map(({pattern, variant}) => `${pattern}|${variant}`))];
 	return keys.flatMap(key => {
 		const [pattern, variant] = key.split('|');
--- a/bench/decisions/report.ts
+++ b/bench/decisions/report.ts
@@ -1,14 +1,14 @@
 import Table from 'cli-table3';
 import {type ClassFigures, type Percentiles, type RunFigures} from './figures.js';
 import {type PlanName, plans} from './plan.js';
-import {type Done} from './schedule.js';
+import {type FinishedRun} from './schedule.js';
 
-/** Every figure of one pattern and seed, the variants side by side. */
-export function renderDetail(done: readonly Done[], full: number): string {
+/** Renders all results of one seed, a row per variant. */
+export function renderDetail(done: readonly FinishedRun[], full: number): string {
 	return `${renderRuns(done, full)}\n${renderClasses(done)}`;
 }
 
-function renderRuns(done: readonly Done[], full: number): string {
+function renderRuns(done: readonly FinishedRun[], full: number): string {
 	const rows = done.map(({pattern, seed, variant, figures}) => [
 		pattern,
 		seed,
@@ -25,7 +25,7 @@
 	return table(['pattern', 'seed', 'variant', 'goodput tokens/s', 'of just full', 'wasted', 'Jain', 'wrong', 'broken', 'violations', 'timer lag ms'], rows);
 }
 
-function renderClasses(done: readonly Done[]): string {
+function renderClasses(done: readonly FinishedRun[]): string {
 	const rows = done.flatMap(({variant, figures}) => figures.classes.map(figure => [
 		variant,
 		figure.plan,
@@ -41,8 +41,8 @@
 	return table(['variant', 'class', 'tier', 'sent', 'attainment', 'first token p50/95/99', 'between tokens p50/95/99', 'worst wait', '2 s after burst', 'refusals'], rows);
 }
 
-/** One row per pattern and variant: means over the seeds, and the worst where a target is a bound. */
-export function renderSummary(done: readonly Done[], full: number): string {
+/** Renders one row per pattern and variant: means over the seeds, and the worst value where the target is a bound. */
+export function renderSummary(done: readonly FinishedRun[], full: number): string {
 	const keys = [...new Set(done.map(({pattern, variant}) => `${pattern}|${variant}`))];
 	const rows = keys.map(key => {
 		const [pattern, variant] = key.split('|');
@@ -79,7 +79,7 @@
 	return table(head, rows);
 }
 
-/** A table as it goes into a page. */
+/** Converts a rendered table to Markdown. */
 export function toMarkdown(rendered: string): string {
 	const lines = rendered.split('\n').filter(line => line.startsWith('|'));
 	const columns = lines[0]!.split('|').length - 2;
@@ -87,8 +87,8 @@
 }
 
 function spread(runs: readonly RunFigures[], plan: PlanName): string {
-	const parts = runs.flatMap(({classes}) => classes.filter(figure => figure.plan === plan).map(({attainment}) => attainment));
-	return parts.length === 0 ? '' : `${percent(mean(parts))} (${percent(Math.min(...parts))})`;
+	const attainments = runs.flatMap(({classes}) => classes.filter(figure => figure.plan === plan).map(({attainment}) => attainment));
+	return attainments.length === 0 ? '' : `${percent(mean(attainments))} (${percent(Math.min(...attainments))})`;
 }
 
 function worstWaits(runs: readonly RunFigures[]): string {
@@ -99,8 +99,8 @@
 }
 
 function recovery(runs: readonly RunFigures[]): string {
-	const parts = runs.flatMap(({classes}) => classes.flatMap(({recovered}) => recovered ?? []));
-	return parts.length === 0 ? '' : percent(Math.min(...parts));
+	const attainments = runs.flatMap(({classes}) => classes.flatMap(({recovered}) => recovered ?? []));
+	return attainments.length === 0 ? '' : percent(Math.min(...attainments));
 }
 
 function reasons({refusals}: ClassFigures): string {
--- a/bench/decisions/run.ts
+++ b/bench/decisions/run.ts
@@ -4,21 +4,21 @@
 import {keyOf, planCatalogue} from '../harness/catalogue.js';
 import {LocalFleet} from '../harness/local-fleet.js';
 import {createRandom} from '../harness/random.js';
-import {type Pattern, type Planned, planRequests, type Trouble} from './patterns.js';
+import {type Pattern, type Planned, planRequests, type EngineFault} from './patterns.js';
 import {costs, endpointCount, entryCount, model, plans, workspaces} from './plan.js';
 import {type Variant} from './variants.js';
 
-/** What one caller got. */
+/** One request and its result. */
 export type Sample = {readonly planned: Planned; readonly sentAt: number; readonly result: CallResult};
 
-/** One run of a pattern: what every caller got, and what the engines did for it. */
+/** One run of a pattern: the results of all callers, and the engineWork of the engines. */
 export type RunRecord = {
 	readonly pattern: Pattern;
 	readonly samples: readonly Sample[];
 	readonly tokensProduced: number;
 	readonly prefilledTokens: number;
 	readonly violations: readonly Violation[];
-	/** How late this process's own timers were: a run on a busy machine shows here. */
+	/** The largest delay of this process's timers, high on a busy machine. */
 	readonly worstTimerLagMilliseconds: number;
 };
 
@@ -46,24 +46,24 @@
 	await fleet.publish(planCatalogue([model], workspaces, Object.values(plans)));
 	await fleet.connected();
 	await warmUp(fleet);
-	const before = work(engines);
+	const before = engineWork(engines);
 	const startedAt = performance.now();
-	const lag = watchTimers();
-	const troubles = pattern.troubles.map(async trouble => makeTrouble(fleet, trouble));
+	const lag = watchTimerLag();
+	const engineFaults = pattern.engineFaults.map(async fault => injectFault(fleet, fault));
 	const calls = planRequests(pattern, seed).map(async planned => send(planned, startedAt, random.pick(fleet.entries).entry.address));
 	const samples = await Promise.all(calls);
-	await Promise.all(troubles);
+	await Promise.all(engineFaults);
 	return {
 		pattern,
 		samples,
 		violations,
-		tokensProduced: work(engines).tokens - before.tokens,
-		prefilledTokens: work(engines).prefilled - before.prefilled,
+		tokensProduced: engineWork(engines).tokens - before.tokens,
+		prefilledTokens: engineWork(engines).prefilled - before.prefilled,
 		worstTimerLagMilliseconds: lag.stop(),
 	};
 }
 
-/** A part of a process's first calls is slow while its code is compiled; that says nothing of decisions. */
+/** Sends calls until the code is compiled, since a process's first calls are slow for that reason alone. */
 async function warmUp(fleet: LocalFleet): Promise<void> {
 	for (let round = 0; round < warmUpRounds; round++) {
 		await Promise.all(Array.from({length: warmUpCalls}, async (_, index) => callModel({
@@ -75,7 +75,7 @@
 const warmUpRounds = 3;
 const warmUpCalls = 32;
 
-function work(engines: readonly FakeEngine[]): {tokens: number; prefilled: number} {
+function engineWork(engines: readonly FakeEngine[]): {tokens: number; prefilled: number} {
 	return {tokens: sum(engines.map(engine => engine.tokensProduced)), prefilled: sum(engines.map(engine => engine.prefilledTokens))};
 }
 
@@ -88,12 +88,12 @@
 	return {planned, sentAt, result};
 }
 
-async function makeTrouble(fleet: LocalFleet, trouble: Trouble): Promise<void> {
-	await delay(trouble.at);
-	const {engine} = fleet.endpoints[trouble.endpoint]!;
-	switch (trouble.type) {
+async function injectFault(fleet: LocalFleet, fault: EngineFault): Promise<void> {
+	await delay(fault.at);
+	const {engine} = fleet.endpoints[fault.endpoint]!;
+	switch (fault.type) {
 		case 'faults': {
-			Object.assign(engine.faults, trouble.faults);
+			Object.assign(engine.faults, fault.faults);
 			return;
 		}
 
@@ -110,7 +110,7 @@
 
 const watchEveryMilliseconds = 20;
 
-function watchTimers(): {stop(): number} {
+function watchTimerLag(): {stop(): number} {
 	let worst = 0;
 	let last = performance.now();
 	const timer = setInterval(() => {
--- a/bench/decisions/variants.ts
+++ b/bench/decisions/variants.ts
@@ -6,17 +6,17 @@
 } from '../../src/policy/scheduler/index.js';
 import {fullBatch} from './plan.js';
 
-/** A choice of policies to measure. */
+/** A combination of policies to measure. */
 export type Variant = {
 	readonly name: string;
 	readonly scheduler: (settings: Partial<SchedulerSettings>) => Scheduler<any>;
 	readonly placement: Placement<any>;
 };
 
-/** A fixed number of slots that keeps the tightest target: the best that a fixed number can do here. */
+/** The number of slots that meets the tightest target: the best fixed number for these engines. */
 const fixedSlots = (settings: Partial<SchedulerSettings>): Scheduler<any> => createFifoScheduler({...settings, initialSlots: fullBatch});
 
-/** What is measured side by side, the product first. */
+/** The variants to compare, the product first. */
 export const variants: readonly Variant[] = [
 	{name: 'present', scheduler: createTieredScheduler, placement: subsetPlacement},
 	{name: 'early-binding', scheduler: createTieredScheduler, placement: createSubsetPlacement({...subsetSettings, reservations: 1})},
--- a/bench/decisions/worker.ts
+++ b/bench/decisions/worker.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Runs one pattern under one variant and prints its figures as one line of JSON. */
+/** Runs one pattern with one variant and prints the results as one line of JSON. */
 import process from 'node:process';
 import {figuresOf} from './figures.js';
 import {patterns} from './patterns.js';
@@ -15,6 +15,6 @@
 
 const figures = figuresOf(await runPattern(pattern, variant, Number(seed)));
 process.stdout.write(`${JSON.stringify(figures)}\n`, () => {
-	// Keep-alive connections of the callers would hold the process for a while.
+	// The callers' keep-alive connections would keep the process running for a while.
 	process.exit(0);
 });
--- a/bench/demo.ts
+++ b/bench/demo.ts
@@ -1,7 +1,7 @@
 /**
- * Shows the whole path in one process: entries and sides over TCP on loopback, stand-ins around
- * them, three tiers, two users' workspaces, one endpoint crash and one planned stop. Exits with 0
- * only if every caller got its own whole answer or a verdict.
+ * Runs the complete path in one process: entries and sides over TCP on loopback, stand-ins around
+ * them, three tiers, two users' workspaces, one endpoint crash and one graceful shutdown. Exits with 0
+ * only if every caller got its own complete response or a verdict.
  */
 import process from 'node:process';
 import {planCatalogue, threeClasses} from './harness/catalogue.js';
@@ -29,7 +29,7 @@
 	await fleet.publish(planCatalogue([model], workspaces));
 	await fleet.connected();
 	console.log(`${fleet.entries.length} entries and ${fleet.endpoints.length} sides are up; sending for ${seconds} s.`);
-	const troubles = makeTrouble(fleet);
+	const faultsInjected = injectFaults(fleet);
 	await runLoad({
 		flows: planFlows(),
 		seconds,
@@ -39,12 +39,12 @@
 			tallies.find(tally => tally.plan.name === flow.plan.name)!.count(result);
 		},
 	});
-	await troubles;
+	await faultsInjected;
 	console.log(renderTally(tallies, seconds));
 	const produced = sum(engines.map(engine => engine.tokensProduced));
 	const delivered = sum(tallies.map(tally => tally.wholeTokens));
 	console.log(`Engines produced ${produced} tokens; ${delivered} reached callers in whole answers; wasted work ${(100 * (1 - (delivered / produced))).toFixed(2)}%.`);
-	const faults = sum(tallies.map(tally => tally.wrong + tally.untold));
+	const faults = sum(tallies.map(tally => tally.wrong + tally.withoutVerdict));
 	console.log(faults === 0 ? 'Every caller got its own whole answer or a verdict.' : `${faults} callers got a wrong answer or no verdict.`);
 	process.exitCode = faults === 0 ? 0 : 1;
 }
@@ -53,17 +53,17 @@
 	return workspaces.flatMap(workspace => threeClasses.map(plan => ({workspace, plan, model, ...ratesByClass[plan.name]!})));
 }
 
-/** One endpoint crashes and comes back; another is stopped as planned. */
-async function makeTrouble(fleet: LocalFleet): Promise<void> {
-	const [crashing, leaving] = fleet.endpoints;
+/** One endpoint crashes and restarts; another is shut down gracefully. */
+async function injectFaults(fleet: LocalFleet): Promise<void> {
+	const [crashing, stopping] = fleet.endpoints;
 	await delay(3000);
 	console.log(`${crashing!.name} crashes.`);
 	await crashing!.engine.crash();
 	await delay(2000);
 	await crashing!.engine.start();
-	console.log(`${crashing!.name} is back; ${leaving!.name} is stopped as planned.`);
-	await fleet.stopEndpoint(leaving!);
-	console.log(`${leaving!.name} has finished its work and is gone.`);
+	console.log(`${crashing!.name} is back; ${stopping!.name} is stopped as planned.`);
+	await fleet.stopEndpoint(stopping!);
+	console.log(`${stopping!.name} has finished its work and is gone.`);
 }
 
 async function delay(milliseconds: number): Promise<void> {
--- a/bench/gateway-load/engine.ts
+++ b/bench/gateway-load/engine.ts
@@ -2,15 +2,15 @@
 import {kinds} from './callers.js';
 
 /**
- * The reading of one engine: prompts one after the other at a pace, a beginning that it holds not again. Enough to make lines
- * at the gateways; its steps don't slow with what runs.
+ * The prefill of one engine: prompts one after the other at a fixed rate, without the tokens of cached prefixes. Sufficient
+ * to build up queues at the gateways; decode steps don't slow down with the number of running requests.
  */
-export class ReadingModel {
-	static create(tokensPerMillisecond: number): ReadingModel {
-		return new ReadingModel(tokensPerMillisecond);
+export class PrefillModel {
+	static create(tokensPerMillisecond: number): PrefillModel {
+		return new PrefillModel(tokensPerMillisecond);
 	}
 
-	readonly #held = new Set<string>();
+	readonly #cachedPrefixes = new Set<string>();
 	readonly #tokensPerMillisecond: number;
 	#freeAt = 0;
 
@@ -20,9 +20,9 @@
 
 	answer({path, headers}: WorkerRequest): WorkerAnswer {
 		const kind = kinds.find(({name}) => path.startsWith(`/${name}/`))!;
-		const [shared = ''] = String(headers['prefix-hash']).split(':', 1);
-		const tokens = kind.ownTokens + (this.#held.has(shared) ? 0 : kind.sharedTokens);
-		this.#held.add(shared);
+		const [prefix = ''] = String(headers['prefix-hash']).split(':', 1);
+		const tokens = kind.ownTokens + (this.#cachedPrefixes.has(prefix) ? 0 : kind.sharedTokens);
+		this.#cachedPrefixes.add(prefix);
 		const now = performance.now();
 		this.#freeAt = Math.max(now, this.#freeAt) + (tokens / this.#tokensPerMillisecond);
 		return {type: 'events', count: kind.events, gapMilliseconds: kind.gapMilliseconds, firstAfterMilliseconds: this.#freeAt - now};
--- a/bench/gateway-load/index.ts
+++ b/bench/gateway-load/index.ts
@@ -10,21 +10,21 @@
 import {GatewayChild} from '../gateway-soak/child.js';
 import {createRandom} from '../harness/random.js';
 import {createAgent, createTally, kinds, send, type Tally} from './callers.js';
-import {ReadingModel} from './engine.js';
+import {PrefillModel} from './engine.js';
 import {type Cost, costsByOrigin, costsOf, type Profile} from './profile.js';
 
 type Settings = {load: number; seconds: number; gateways: number; engines: number; seed: number; functions: number};
 
 const firstPort = 23_000;
 const tokensPerMillisecond = 82;
-/** Ticks of the processor time that the kernel reports of a process, each second. */
+/** Clock ticks per second in /proc/PID/stat. */
 const ticksPerSecond = 100;
 const settleMilliseconds = 2500;
 
-/** What a request costs a real gateway in processor time, and which functions take it. */
+/** Measures the processor time of real gateways per request and by function. */
 export const gatewayLoadCommand: CommandModule<unknown, Settings> = {
 	command: 'gateway-load',
-	describe: 'Load gateways as processes before stand-in engines; what it costs them, and which functions take it',
+	describe: 'Load gateway processes in front of stand-in engines; their processor time per request and by function',
 	builder: {
 		load: {type: 'number', default: 1, describe: 'times the usual requests of each gateway'},
 		seconds: {type: 'number', default: 10},
@@ -80,7 +80,7 @@
 
 async function createEngine(store: FakePlatformStore, id: string): Promise<FakePlatformWorker> {
 	const worker = await FakePlatformWorker.create(id, 'models');
-	const model = ReadingModel.create(tokensPerMillisecond);
+	const model = PrefillModel.create(tokensPerMillisecond);
 	worker.answer = request => model.answer(request);
 	store.put('keyed.servers', id, worker.beat({slots: 64}));
 	return worker;
@@ -102,7 +102,7 @@
 	return tallies;
 }
 
-/** User and system time of a process, as the kernel tells it. */
+/** Returns the user and system time of a process, as reported by the kernel. */
 function processorSeconds(pid: number): number {
 	const fields = readFileSync(`/proc/${pid}/stat`, 'utf8').split(') ')[1]!.split(' ');
 	return (Number(fields[11]) + Number(fields[12])) / ticksPerSecond;
--- a/bench/gateway-load/profile.ts
+++ b/bench/gateway-load/profile.ts
@@ -1,19 +1,19 @@
-/** What a processor profile says: which functions took the time, themselves and with all that they called. */
+/** Evaluates a CPU profile: the time of each function, by itself and with everything that it called. */
 type Node = {readonly id: number; readonly callFrame: {readonly functionName: string; readonly url: string; readonly lineNumber: number}; readonly children?: readonly number[]};
 export type Profile = {readonly nodes: readonly Node[]; readonly samples: readonly number[]; readonly timeDeltas: readonly number[]};
 
 export type Cost = {readonly name: string; readonly ownMilliseconds: number; readonly wholeMilliseconds: number};
 
-const microseconds = 1000;
+const microsecondsPerMillisecond = 1000;
 
-/** Functions by name, those that took most with what they called first. A function that calls itself counts once. */
+/** Returns the costs by function name, largest total time first. Recursive calls count once. */
 export function costsOf({nodes, samples, timeDeltas}: Profile): Cost[] {
 	const byId = new Map(nodes.map(node => [node.id, node]));
 	const parents = new Map(nodes.flatMap(node => (node.children ?? []).map(child => [child, node.id] as const)));
 	const own = new Map<string, number>();
-	const whole = new Map<string, number>();
+	const total = new Map<string, number>();
 	for (const [index, sample] of samples.entries()) {
-		const milliseconds = (timeDeltas[index] ?? 0) / microseconds;
+		const milliseconds = (timeDeltas[index] ?? 0) / microsecondsPerMillisecond;
 		const node = byId.get(sample)!;
 		add(own, nameOf(node), milliseconds);
 		const seen = new Set<string>();
@@ -22,20 +22,20 @@
 		}
 
 		for (const name of seen) {
-			add(whole, name, milliseconds);
+			add(total, name, milliseconds);
 		}
 	}
 
-	return [...whole].map(([name, wholeMilliseconds]) => ({name, ownMilliseconds: own.get(name) ?? 0, wholeMilliseconds}))
+	return [...total].map(([name, wholeMilliseconds]) => ({name, ownMilliseconds: own.get(name) ?? 0, wholeMilliseconds}))
 		.toSorted((left, right) => right.wholeMilliseconds - left.wholeMilliseconds);
 }
 
-/** Own time by where the code is from: the product, each part of Node, and what is compiled into it. */
+/** Returns own time by the origin of the code: the product, each module of Node, and native code. */
 export function costsByOrigin({nodes, samples, timeDeltas}: Profile): Cost[] {
 	const byId = new Map(nodes.map(node => [node.id, node]));
 	const own = new Map<string, number>();
 	for (const [index, sample] of samples.entries()) {
-		add(own, originOf(byId.get(sample)!), (timeDeltas[index] ?? 0) / microseconds);
+		add(own, originOf(byId.get(sample)!), (timeDeltas[index] ?? 0) / microsecondsPerMillisecond);
 	}
 
 	return [...own].map(([name, milliseconds]) => ({name, ownMilliseconds: milliseconds, wholeMilliseconds: milliseconds}))
--- a/bench/harness/caller.ts
+++ b/bench/harness/caller.ts
@@ -5,9 +5,9 @@
 import {expectedAnswer} from '../../fakes/index.js';
 import {type Verdict} from '../../src/model/index.js';
 
-/** What a caller asks for; `prompt` decides the one right answer. */
+/** One call; `prompt` determines the expected response. */
 export type CallOptions = {
-	/** IP number and port of an entry. */
+	/** IP address and port of an entry. */
 	readonly address: string;
 	readonly key: string;
 	readonly className?: string;
@@ -16,11 +16,11 @@
 	readonly maxTokens?: number;
 	readonly idempotencyKey?: string;
 	readonly signal?: AbortSignal;
-	/** Waits so long after each read: a caller that is slow. */
+	/** Pause after each read, to simulate a slow caller. */
 	readonly pauseMilliseconds?: number;
 };
 
-/** What the caller got, judged against what any engine must answer to its prompt. */
+/** The result of a call, checked against the expected response to its prompt. */
 export type CallResult = {
 	readonly outcome: 'whole' | 'wrong' | 'failed' | 'broken';
 	readonly verdict: Verdict | undefined;
@@ -31,29 +31,29 @@
 	readonly text: string;
 	readonly milliseconds: number;
 	readonly firstTokenMilliseconds: number | undefined;
-	/** Times between tokens, in milliseconds. */
+	/** Times between consecutive tokens, in milliseconds. */
 	readonly gaps: readonly number[];
 	readonly requestId: string | undefined;
-	/** How the connection broke, if it did. */
+	/** The error that fail the connection, if any. */
 	readonly breakReason: string | undefined;
 };
 
 const agent = new http.Agent({keepAlive: true, maxSockets: Number.POSITIVE_INFINITY});
 
-/** Sends one streamed chat call as an ordinary client would, and checks every token of the answer. */
+/** Sends one streamed chat call as an ordinary client does, and checks the response text. */
 export async function callModel(options: CallOptions): Promise<CallResult> {
 	const body = JSON.stringify({
 		model: options.model, stream: true, max_tokens: options.maxTokens, messages: [{role: 'user', content: options.prompt}],
 	});
-	const reading = CallReading.create(expectedAnswer(body));
+	const reader = ResponseReader.create(expectedAnswer(body));
 	try {
 		const response = await send(options, body);
-		await reading.read(response, options.pauseMilliseconds ?? 0);
+		await reader.read(response, options.pauseMilliseconds ?? 0);
 	} catch (error) {
-		reading.broke(error);
+		reader.fail(error);
 	}
 
-	return reading.result();
+	return reader.result();
 }
 
 async function send(options: CallOptions, body: string): Promise<IncomingMessage> {
@@ -83,9 +83,9 @@
 type ErrorBody = {error?: {code?: string; verdict?: Verdict}};
 type EventBody = ErrorBody & {choices?: Array<{delta?: {content?: string}}>};
 
-class CallReading {
-	static create(expected: string): CallReading {
-		return new CallReading(expected);
+class ResponseReader {
+	static create(expected: string): ResponseReader {
+		return new ResponseReader(expected);
 	}
 
 	readonly #expected: string;
@@ -94,8 +94,8 @@
 	#firstTokenAt: number | undefined;
 	readonly #gaps: number[] = [];
 	readonly #parts: string[] = [];
-	#done = false;
-	#broken = false;
+	#isDone = false;
+	#isBroken = false;
 	#breakReason: string | undefined;
 	#error: ErrorBody['error'];
 	#status = 0;
@@ -129,8 +129,8 @@
 		}
 	}
 
-	broke(error: unknown): void {
-		this.#broken = true;
+	fail(error: unknown): void {
+		this.#isBroken = true;
 		this.#breakReason = String(error);
 	}
 
@@ -152,9 +152,9 @@
 		};
 	}
 
-	/** A clean end must be the whole answer; before any end, what came must be its beginning. */
+	/** A response that ended cleanly must be the complete expected text, an interrupted one a prefix of it. */
 	#outcome(text: string): CallResult['outcome'] {
-		if (this.#done) {
+		if (this.#isDone) {
 			return text === this.#expected ? 'whole' : 'wrong';
 		}
 
@@ -162,12 +162,12 @@
 			return 'wrong';
 		}
 
-		return this.#error === undefined || (this.#broken && this.#status === 0) ? 'broken' : 'failed';
+		return this.#error === undefined || (this.#isBroken && this.#status === 0) ? 'broken' : 'failed';
 	}
 
 	#take(data: string): void {
 		if (data === '[DONE]') {
-			this.#done = true;
+			this.#isDone = true;
 			return;
 		}
 
--- a/bench/harness/load.ts
+++ b/bench/harness/load.ts
@@ -2,10 +2,10 @@
 import {type ClassPlan, keyOf} from './catalogue.js';
 import {type Random} from './random.js';
 
-/** One kind of traffic: which workspace sends what, how often, and how long the answers are. */
+/** One kind of traffic: the workspace and class, the request rate and the length of the responses. */
 export type Flow = {
 	readonly workspace: string;
-	/** The bearer key; the harness's own for this workspace if left out. */
+	/** The bearer key; defaults to `keyOf(workspace)`. */
 	readonly key?: string;
 	readonly plan: ClassPlan;
 	readonly model: string;
@@ -17,12 +17,12 @@
 	readonly flows: readonly Flow[];
 	readonly seconds: number;
 	readonly random: Random;
-	/** The entry that the platform's balancer would choose now. */
+	/** Chooses an entry, in place of the platform's load balancer. */
 	readonly address: () => string;
 	readonly onResult: (flow: Flow, result: CallResult) => void;
 };
 
-/** Sends every flow as a Poisson process, open loop, and resolves once each request has its outcome. */
+/** Sends each flow as an open-loop Poisson process, and resolves once every request has ended. */
 export async function runLoad(options: LoadOptions): Promise<void> {
 	const pending: Array<Promise<void>> = [];
 	const until = performance.now() + (options.seconds * 1000);
--- a/bench/harness/local-fleet.ts
+++ b/bench/harness/local-fleet.ts
@@ -20,18 +20,18 @@
 
 const platformTimeoutMilliseconds = 2000;
 const healthTimeoutMilliseconds = 1000;
-/** The harness's callers ask each entry whether it is ready before each call, so they need little. */
+/** Delay for the load balancer to notice a drain. Short, since the harness's callers check readiness before each call. */
 const balancerMilliseconds = 100;
 const loopback = '127.0.0.1';
 
-/** One endpoint with its side, as started by the harness. */
+/** An endpoint and its side, as started by the harness. */
 export type LocalEndpoint = LocalSide & {readonly name: string; readonly zone: string; readonly engine: FakeEngine};
 
-/** The side process of an endpoint; a replacement takes its place after a crash. */
+/** The side (the sidecar process) of an endpoint; replaced after a crash. */
 type LocalSide = {
 	side: Side<any>;
 	instance: InstanceId;
-	/** What ends with the side process, the engine not counted. */
+	/** Everything that ends with the side process; the engine does not. */
 	sideParts: readonly AsyncDisposable[];
 };
 
@@ -57,13 +57,13 @@
 	readonly security?: Security;
 	readonly logLevel?: 'debug' | 'info' | 'warn' | 'error' | 'fatal';
 	readonly onEnd?: EntryOptions<unknown>['onEnd'];
-	/** The address that the membership list names in place of a side's own: a path that a test can cut. */
+	/** Returns the address to list instead of a side's own, such as that of a network path with fault injection. */
 	readonly route?: (endpoint: string, address: string) => Promise<string>;
 };
 
 /**
- * The product's entries and sides in this process, over real TCP on loopback, with stand-ins around
- * them. Only the harness lives here; every decision is the product's own code.
+ * Runs the product's entries and sides in this process, over real TCP on loopback, with stand-ins around
+ * them. Contains only the harness; every decision is made by the product's code.
  */
 export class LocalFleet implements AsyncDisposable {
 	static async create(options: LocalFleetOptions): Promise<LocalFleet> {
@@ -96,7 +96,7 @@
 		this.logger = createLogger({name: 'local-fleet', level: options.logLevel ?? 'error'});
 	}
 
-	/** Starts an engine and its side, and lists the side. */
+	/** Starts an engine and its side, and adds the side to the membership list. */
 	async addEndpoint(name: string, zone: string): Promise<LocalEndpoint> {
 		const engine = await FakeEngine.create({models: this.#options.models, costs: this.#options.costs});
 		const endpoint = {name, zone, engine, ...await this.#startSide(name, zone, engine)};
@@ -105,7 +105,7 @@
 		return endpoint;
 	}
 
-	/** Starts a plain service and its side, and lists the side. */
+	/** Starts a plain service and its side, and adds the side to the membership list. */
 	async addService(target: string, zone: string): Promise<FakeService> {
 		const service = await FakeService.create();
 		const client = ServiceClient.create({baseUrl: service.url});
@@ -116,12 +116,12 @@
 		return service;
 	}
 
-	/** Ends a side process without a word to anyone; its engine goes on. */
+	/** Ends a side process without a drain; its engine keeps running. */
 	async crashSide(endpoint: LocalEndpoint): Promise<void> {
 		await disposeAll(endpoint.sideParts);
 	}
 
-	/** Starts a replacement of a crashed side beside the same engine. */
+	/** Starts a replacement of a crashed side for the same engine. */
 	async restartSide(endpoint: LocalEndpoint): Promise<void> {
 		this.members.remove(endpoint.instance);
 		Object.assign(endpoint, await this.#startSide(endpoint.name, endpoint.zone, endpoint.engine));
@@ -160,7 +160,7 @@
 		return local;
 	}
 
-	/** Publishes entries that are not in the catalogue yet, and waits until every process has them. */
+	/** Publishes new catalogue entries, and waits until every entry process has them. */
 	async publish(entries: readonly CatalogueEntry[], author = 'operator'): Promise<void> {
 		const log = this.#logClient();
 		const change: Change = {
@@ -179,7 +179,7 @@
 		await until(() => this.entries.every(({entry}) => entry.fleet.connected.length >= this.endpoints.length));
 	}
 
-	/** A planned stop: listed as leaving, drained, then gone. */
+	/** Shuts an endpoint down gracefully: drains its side, removes it from the membership list, then ends both. */
 	async stopEndpoint(endpoint: LocalEndpoint): Promise<void> {
 		await endpoint.side.drain();
 		this.members.remove(endpoint.instance);
@@ -187,7 +187,7 @@
 		this.endpoints.splice(this.endpoints.indexOf(endpoint), 1);
 	}
 
-	/** Ends an entry without a word to anyone; the list still names it for a while. */
+	/** Ends an entry without a drain and removes it from the membership list. */
 	async crashEntry(local: LocalEntry): Promise<void> {
 		this.entries.splice(this.entries.indexOf(local), 1);
 		this.members.remove(local.instance);
@@ -276,7 +276,7 @@
 	const deadline = performance.now() + patienceMilliseconds;
 	while (!condition()) {
 		if (performance.now() > deadline) {
-			throw new Error('The awaited condition did not come about.');
+			throw new Error('The awaited condition did not hold within 20 s.');
 		}
 
 		await new Promise(resolve => {
--- a/bench/harness/random.ts
+++ b/bench/harness/random.ts
@@ -1,18 +1,18 @@
 import {uniformFloat64} from 'pure-rand/distribution/uniformFloat64';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 
-/** A seeded source of numbers, so that a run can be repeated. */
+/** A seeded random number generator, for reproducible runs. */
 export type Random = {
-	/** Uniform from 0 up to 1. */
+	/** Uniform from 0 (inclusive) to 1 (exclusive). */
 	uniform(): number;
-	/** A whole number from 0 up to `bound`. */
+	/** An integer from 0 (inclusive) to `bound` (exclusive). */
 	below(bound: number): number;
-	/** Exponentially distributed with this mean: the pauses of a Poisson process. */
+	/** Exponentially distributed with this mean, like the intervals of a Poisson process. */
 	exponential(mean: number): number;
 	pick<Value>(values: readonly Value[]): Value;
 };
 
-/** Makes a source; the same seed gives the same numbers. */
+/** Creates a generator; the same seed gives the same numbers. */
 export function createRandom(seed: number): Random {
 	const generator = xoroshiro128plus(seed);
 	const uniform = (): number => uniformFloat64(generator);
--- a/bench/harness/tally.ts
+++ b/bench/harness/tally.ts
@@ -3,7 +3,7 @@
 import {type CallResult} from './caller.js';
 import {type ClassPlan} from './catalogue.js';
 
-/** The figures of one class, as its callers saw them. */
+/** Results of the calls of one class, as seen by their callers. */
 export class ClassTally {
 	static create(plan: ClassPlan): ClassTally {
 		return new ClassTally(plan);
@@ -15,8 +15,8 @@
 	wrong = 0;
 	notRun = 0;
 	mayHaveRun = 0;
-	/** Failures that carry no verdict: the caller is left in the dark. */
-	untold = 0;
+	/** Failures without a verdict, after which the caller does not know whether the request ran. */
+	withoutVerdict = 0;
 	attained = 0;
 	wholeTokens = 0;
 	readonly firstToken: Histogram = build({lowestDiscernibleValue: 1, highestTrackableValue: 600_000, numberOfSignificantValueDigits: 3});
@@ -40,7 +40,7 @@
 		}
 	}
 
-	/** Share of all requests sent that met both targets of their class. */
+	/** Fraction of all requests sent that met both targets of their class. */
 	get attainment(): number {
 		return this.sent === 0 ? 1 : this.attained / this.sent;
 	}
@@ -51,7 +51,7 @@
 		} else if (result.verdict === 'not-run') {
 			this.notRun += 1;
 		} else if (result.verdict === undefined) {
-			this.untold += 1;
+			this.withoutVerdict += 1;
 		} else {
 			this.mayHaveRun += 1;
 		}
@@ -63,7 +63,7 @@
 	}
 }
 
-/** A table with a row per class. */
+/** Renders a table with a row per class. */
 export function renderTally(tallies: readonly ClassTally[], seconds: number): string {
 	const table = new Table({
 		head: ['class', 'tier', 'sent', 'whole', 'wrong', 'not run', 'may have run', 'no verdict', 'attainment', 'first token p50 ms', 'p95 ms', 'goodput tokens/s'],
@@ -78,7 +78,7 @@
 			tally.wrong,
 			tally.notRun,
 			tally.mayHaveRun,
-			tally.untold,
+			tally.withoutVerdict,
 			`${(tally.attainment * 100).toFixed(1)}%`,
 			tally.firstToken.getValueAtPercentile(50),
 			tally.firstToken.getValueAtPercentile(95),
--- a/bench/limits/index.ts
+++ b/bench/limits/index.ts
@@ -1,15 +1,15 @@
 import Table from 'cli-table3';
 import {type CommandModule} from 'yargs';
 import {
-	simulate, type Balancing, type KeeperFault, type Outcome, type Scenario, type Sharing,
+	simulate, type Balancing, type AllocatorFault, type Outcome, type Scenario, type Sharing,
 } from './simulation.js';
 
 const balancings: readonly Balancing[] = ['even', 'one-sided', 'shifting'];
-const faults: readonly KeeperFault[] = ['none', 'lost', 'doubled'];
+const faults: readonly AllocatorFault[] = ['none', 'lost', 'doubled'];
 const sharings: readonly Sharing[] = ['leased', 'static'];
 const seeds = [1, 2, 3, 4, 5];
 
-/** Over- and undershoot of fleet-wide limits, in virtual time with the product's decisions. */
+/** Over- and undershoot of fleet-wide limits, simulated in virtual time with the product's decisions. */
 export const limitsCommand: CommandModule<unknown, {entries: number; limit: number}> = {
 	command: 'limits',
 	describe: 'over- and undershoot of fleet-wide limits under uneven balancing and keeper faults',
--- a/bench/limits/simulation.ts
+++ b/bench/limits/simulation.ts
@@ -3,31 +3,31 @@
 } from '../../src/policy/limits/index.js';
 import {createRandom} from '../harness/random.js';
 
-/** Which entry the balancer sends a request to. */
+/** How the load balancer distributes requests over the entries. */
 export type Balancing = 'even' | 'one-sided' | 'shifting';
-/** What becomes of the keeper: one for all, none from 10 s to 20 s, or two from 10 s to 20 s. */
-export type KeeperFault = 'none' | 'lost' | 'doubled';
-/** How the limit is shared: by leases, or as limit/N for comparison. */
+/** The allocator's fault: one allocator throughout, none from 10 s to 20 s, or two from 10 s to 20 s. */
+export type AllocatorFault = 'none' | 'lost' | 'doubled';
+/** How the limit is shared: by leases, or statically as limit/N for comparison. */
 export type Sharing = 'leased' | 'static';
 
 export type Scenario = {
 	readonly entries: number;
 	readonly limit: number;
-	/** Requests that callers send a second, fleet-wide. */
+	/** Requests per second that callers send, fleet-wide. */
 	readonly offered: number;
 	readonly balancing: Balancing;
-	readonly fault: KeeperFault;
+	readonly fault: AllocatorFault;
 	readonly sharing: Sharing;
 	readonly kind: 'requestsPerSecond' | 'concurrency';
 	readonly seed: number;
 };
 
 export type Outcome = {
-	/** Admitted over what the limit and the offer allow, after the first two seconds. */
+	/** Admitted requests divided by the smaller of limit and offered load, after the first two seconds. */
 	readonly admittedShare: number;
-	/** The fullest second, or the most at once, over the limit. */
+	/** The highest rate of a second, or the highest concurrency, as an excess over the limit. */
 	readonly overshoot: number;
-	/** The emptiest second under the smaller of limit and offer; for concurrency the emptiest mean of a second. */
+	/** The lowest rate (for concurrency the lowest mean) of a second, as a shortfall from the smaller of limit and offered load. */
 	readonly undershoot: number;
 	readonly reportsPerEntrySecond: number;
 };
@@ -41,7 +41,7 @@
 const faultFrom = 10_000;
 const faultUntil = 20_000;
 
-/** Runs the product's own decisions in virtual time; only the clock, the callers and the hops are made up. */
+/** Runs the product's decisions in virtual time; only the clock, the callers and the network hops are simulated. */
 export function simulate(scenario: Scenario): Outcome {
 	const run = Run.create(scenario);
 	for (let now = 0; now < seconds * 1000; now += stepMilliseconds) {
@@ -51,7 +51,7 @@
 	return run.outcome();
 }
 
-type Node = {readonly name: string; readonly standing: FleetPosition; state: LimiterState | undefined; lastReportAt: number; lastUsedAt: number};
+type Node = {readonly name: string; readonly fleetPosition: FleetPosition; state: LimiterState | undefined; lastReportAt: number; lastUsedAt: number};
 
 class Run {
 	static create(scenario: Scenario): Run {
@@ -61,11 +61,11 @@
 	readonly #scenario: Scenario;
 	readonly #random;
 	readonly #nodes: Node[];
-	readonly #keepers: AllocatorState[] = [createAllocator(), createAllocator()];
+	readonly #allocators: AllocatorState[] = [createAllocator(), createAllocator()];
 	readonly #admitted = Array.from({length: seconds}, () => 0);
 	readonly #sent = Array.from({length: seconds}, () => 0);
 	readonly #endings = new Map<number, Node[]>();
-	readonly #busy = Array.from({length: seconds}, () => 0);
+	readonly #meanRunning = Array.from({length: seconds}, () => 0);
 	#running = 0;
 	#mostRunning = 0;
 	#reports = 0;
@@ -75,7 +75,7 @@
 		this.#scenario = scenario;
 		this.#random = createRandom(scenario.seed);
 		this.#nodes = Array.from({length: scenario.entries}, (_, position) => ({
-			name: `entry-${position}`, standing: {entries: scenario.entries, position}, state: undefined, lastReportAt: Number.NEGATIVE_INFINITY, lastUsedAt: Number.NEGATIVE_INFINITY,
+			name: `entry-${position}`, fleetPosition: {entries: scenario.entries, position}, state: undefined, lastReportAt: Number.NEGATIVE_INFINITY, lastUsedAt: Number.NEGATIVE_INFINITY,
 		}));
 	}
 
@@ -95,40 +95,40 @@
 		}
 
 		this.#mostRunning = Math.max(this.#mostRunning, this.#running);
-		this.#busy[Math.floor(now / 1000)]! += this.#running * stepMilliseconds / 1000;
+		this.#meanRunning[Math.floor(now / 1000)]! += this.#running * stepMilliseconds / 1000;
 	}
 
 	outcome(): Outcome {
 		const {limit, offered, entries, kind} = this.#scenario;
 		const settled = this.#admitted.slice(settlingSeconds);
 		const due = this.#sent.slice(settlingSeconds).map(sent => Math.min(sent, limit));
-		const busy = this.#busy.slice(settlingSeconds);
+		const meanRunning = this.#meanRunning.slice(settlingSeconds);
 		const target = Math.min(limit, offered * serviceMilliseconds / 1000);
 		const isRate = kind === 'requestsPerSecond';
 		return {
-			admittedShare: isRate ? sum(settled) / sum(due) : sum(busy) / busy.length / target,
+			admittedShare: isRate ? sum(settled) / sum(due) : sum(meanRunning) / meanRunning.length / target,
 			overshoot: Math.max(0, ((isRate ? Math.max(...this.#admitted) : this.#mostRunning) / limit) - 1),
-			undershoot: Math.max(0, 1 - (isRate ? Math.min(...settled.map((count, index) => count / due[index]!)) : Math.min(...busy.map(value => value / target)))),
+			undershoot: Math.max(0, 1 - (isRate ? Math.min(...settled.map((count, index) => count / due[index]!)) : Math.min(...meanRunning.map(value => value / target)))),
 			reportsPerEntrySecond: this.#reports / entries / seconds,
 		};
 	}
 
 	#arrive(now: number): void {
 		const node = this.#balance(now);
-		const question = {limits: {[this.#scenario.kind]: this.#scenario.limit}, fleetPosition: node.standing, promptTokens: 1};
+		const entryLimits = {limits: {[this.#scenario.kind]: this.#scenario.limit}, fleetPosition: node.fleetPosition, promptTokens: 1};
 		this.#sent[Math.floor(now / 1000)]! += 1;
-		node.state ??= createLimiter(question, now);
+		node.state ??= createLimiter(entryLimits, now);
 		node.lastUsedAt = now;
 		if (lacksLease(node.state, now)) {
 			this.#report(node, now);
 		}
 
-		const first = admit(node.state, question, now);
+		const first = admit(node.state, entryLimits, now);
 		node.state = first.state;
 		let {decision} = first;
 		if (decision.type === 'limited') {
 			this.#report(node, now, true);
-			({state: node.state, decision} = admit(node.state, question, now));
+			({state: node.state, decision} = admit(node.state, entryLimits, now));
 		}
 
 		if (decision.type !== 'admitted') {
@@ -143,8 +143,8 @@
 
 	#balance(now: number): Node {
 		const {balancing} = this.#scenario;
-		const favoured = balancing === 'shifting' ? Math.floor(now / 5000) % this.#nodes.length : 0;
-		return balancing !== 'even' && this.#random.uniform() < 0.9 ? this.#nodes[favoured]! : this.#random.pick(this.#nodes);
+		const preferredNode = balancing === 'shifting' ? Math.floor(now / 5000) % this.#nodes.length : 0;
+		return balancing !== 'even' && this.#random.uniform() < 0.9 ? this.#nodes[preferredNode]! : this.#random.pick(this.#nodes);
 	}
 
 	#report(node: Node, now: number, isUrgent = false): void {
@@ -158,29 +158,29 @@
 		this.#reports += 1;
 		const {state, demand} = createReport(node.state, now);
 		node.state = state;
-		const keeper = this.#keeperOf(node, now);
-		if (keeper === undefined) {
+		const allocator = this.#allocatorOf(node, now);
+		if (allocator === undefined) {
 			return;
 		}
 
-		const question = {limits: {[kind]: limit}, fleetPosition: node.standing};
-		const leased = grantLease(this.#keepers[keeper]!, {holder: node.name, demand, limits: question.limits}, now);
-		this.#keepers[keeper] = leased.state;
-		node.state = applyLease(node.state, question, leased.lease, now + (2 * hopMilliseconds));
+		const entryLimits = {limits: {[kind]: limit}, fleetPosition: node.fleetPosition};
+		const leased = grantLease(this.#allocators[allocator]!, {holder: node.name, demand, limits: entryLimits.limits}, now);
+		this.#allocators[allocator] = leased.state;
+		node.state = applyLease(node.state, entryLimits, leased.lease, now + (2 * hopMilliseconds));
 	}
 
-	#keeperOf(node: Node, now: number): number | undefined {
+	#allocatorOf(node: Node, now: number): number | undefined {
 		const {fault} = this.#scenario;
 		const isFaulty = fault !== 'none' && now >= faultFrom && now < faultUntil;
 		if (!isFaulty) {
 			return 0;
 		}
 
-		return fault === 'lost' ? undefined : node.standing.position % 2;
+		return fault === 'lost' ? undefined : node.fleetPosition.position % 2;
 	}
 }
 
-/** What `limit/N` would be, for the page. */
+/** Returns the static share `limit/N`. */
 export function staticShare(limit: number, entries: number): number {
 	return evenShare({requestsPerSecond: limit}, {entries, position: 0}).requestsPerSecond;
 }
--- a/bench/load/index.ts
+++ b/bench/load/index.ts
@@ -5,7 +5,7 @@
 import {createRandom} from '../harness/random.js';
 import {ClassTally, renderTally} from '../harness/tally.js';
 
-/** A load is for trying things out and ends by itself. */
+/** Upper bound of --seconds, so that a load always ends by itself. */
 const longestSeconds = 600;
 
 type Arguments = {
@@ -19,7 +19,7 @@
 	seed: number;
 };
 
-/** A load on entries that were started by hand; each answer is checked against the stand-in engine's one right text. */
+/** Sends load to entries that were started separately; each response is checked against the stand-in engine's expected text. */
 export const loadCommand: CommandModule<Record<string, unknown>, Arguments> = {
 	command: 'load',
 	describe: 'Sends checked requests to running entries and prints what callers got',
@@ -60,11 +60,11 @@
 		},
 	});
 	console.log(renderTally(tallies, settings.seconds));
-	const faults = tallies.some(tally => tally.wrong > 0 || tally.untold > 0);
-	process.exitCode = faults ? 1 : 0;
+	const hasFaults = tallies.some(tally => tally.wrong > 0 || tally.withoutVerdict > 0);
+	process.exitCode = hasFaults ? 1 : 0;
 }
 
-/** The targets that attainment is judged by; a class of another name gets the middle one's. */
+/** Returns the targets for attainment by class name; an unknown class gets those of the middle tier. */
 function planOf(name: string): ClassPlan {
 	const known = threeClasses.find(plan => plan.name === name);
 	return known ?? {...threeClasses[1]!, name};
--- a/bench/losses/index.ts
+++ b/bench/losses/index.ts
@@ -6,11 +6,11 @@
 
 const longestDetail = 110;
 
-/** `npm run bench -- losses REPORT...`: what each played day lost, by cause. */
+/** `npm run bench -- losses REPORT...`: losses of each simulated day, by cause. */
 export const lossesCommand: CommandModule<unknown, {reports: string[]}> = {
 	command: 'losses <reports..>',
-	describe: 'Show what played days lost, by cause, from their reports',
-	builder: yargs => yargs.positional('reports', {type: 'string', array: true, demandOption: true, describe: 'Files that a play wrote as its report'}),
+	describe: 'Show the losses of simulated days by cause, from their reports',
+	builder: yargs => yargs.positional('reports', {type: 'string', array: true, demandOption: true, describe: 'Report files of simulated days'}),
 	handler({reports}) {
 		for (const file of reports) {
 			process.stdout.write(`${describe(file)}\n`);
@@ -29,6 +29,6 @@
 		return `${file}: worth ${report.G.toFixed(3)}, served ${report.served.toFixed(3)}\n${table.toString()}`;
 	} catch (error) {
 		process.exitCode = 2;
-		return `${file}: no report of a played day: ${String(error).slice(0, 300)}`;
+		return `${file}: not a report of a simulated day: ${String(error).slice(0, 300)}`;
 	}
 }
--- a/bench/losses/report.ts
+++ b/bench/losses/report.ts
@@ -1,9 +1,9 @@
 import {z} from 'zod';
 
-/** Requests of one kind, or of one span of time, as a played day counted them. */
+/** Counts of a simulated day for one class of requests, or for one time window. */
 const group = z.object({name: z.string(), n: z.number(), in_aim: z.number(), late: z.number(), refused: z.number(), failed: z.number(), worth: z.number()});
 
-/** What a report of a played day has to hold for the table; more is ignored. */
+/** The fields of a simulated day's report that the table needs; others are ignored. */
 const reportSchema = z.object({
 	G: z.number(),
 	served: z.number(),
@@ -16,20 +16,20 @@
 
 export type Report = z.output<typeof reportSchema>;
 
-/** Why worth was lost, and how much of what the day could have earned. */
+/** A cause of lost worth, and the loss as a fraction of the maximum. */
 export type Loss = {readonly cause: string; readonly worth: number; readonly detail: string};
 
-/** Reads a report; throws with what is wrong. */
+/** Parses a report; throws if it is invalid. */
 export function parseReport(text: string): Report {
 	return reportSchema.parse(JSON.parse(text));
 }
 
-/** Prices below this part of the day's worth are summed up. */
-const leastPrice = 0.003;
+/** Prices below this fraction of the maximum worth are summed up in one row. */
+const minimumPrice = 0.003;
 
 /**
- * The causes of one day, largest first; together with the day's worth they make 1. A part of the goal loses its
- * weight times what lacks to 1; prices are taken off as they stand.
+ * Returns the losses of one day, largest first; together with the day's worth they add up to 1. A part of the
+ * goal loses its weight times its shortfall from 1; prices are subtracted unchanged.
  */
 export function lossesOf({parts, prices, classes, windows}: Report): Loss[] {
 	const worst = windows.filter(({n}) => n > 0).toSorted((left, right) => left.worth - right.worth).slice(0, 2);
@@ -40,7 +40,7 @@
 	};
 	const ofParts = parts.map(([name, weight, earned]): Loss => ({cause: name, worth: weight * (1 - earned), detail: details[name] ?? ''}));
 	const ofPrices = prices.map(([name, amount, price]): Loss => ({cause: `price: ${name}`, worth: price, detail: String(amount)}));
-	const dear = ofPrices.filter(({worth}) => worth >= leastPrice);
-	const rest = ofPrices.filter(({worth}) => worth < leastPrice).reduce((sum, {worth}) => sum + worth, 0);
-	return [...ofParts, ...dear, {cause: 'other prices', worth: rest, detail: ''}].toSorted((left, right) => right.worth - left.worth);
+	const largePrices = ofPrices.filter(({worth}) => worth >= minimumPrice);
+	const rest = ofPrices.filter(({worth}) => worth < minimumPrice).reduce((sum, {worth}) => sum + worth, 0);
+	return [...ofParts, ...largePrices, {cause: 'other prices', worth: rest, detail: ''}].toSorted((left, right) => right.worth - left.worth);
 }
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,4 +1,4 @@
-/** `npm run bench -- NAME`: each bench is a command in a folder of its own. */
+/** `npm run bench -- NAME`: each benchmark is a command in a folder of its own. */
 import process from 'node:process';
 import yargs from 'yargs';
 import {hideBin} from 'yargs/helpers';
--- a/bench/path/engine-process.ts
+++ b/bench/path/engine-process.ts
@@ -1,4 +1,4 @@
-/** A stand-in engine in a process of its own: its costs are the first argument, as JSON. */
+/** A stand-in engine in a process of its own. The first argument is its costs as JSON. */
 import process from 'node:process';
 import {type EngineCosts, FakeEngine} from '../../fakes/index.js';
 
--- a/bench/path/index.ts
+++ b/bench/path/index.ts
@@ -9,10 +9,10 @@
 
 const columns: ReadonlyArray<keyof Row> = ['figure', 'direct', 'through', 'result', 'target'];
 
-/** `bench path`: what the way through entry and side adds, beside the same engine called directly. */
+/** `bench path`: the overhead of entry and side compared with calling the same engine directly. */
 export const pathCommand: CommandModule<unknown, Options> = {
 	command: 'path',
-	describe: 'What the way through entry and side costs, beside the engine called directly',
+	describe: 'Overhead of entry and side compared with calling the engine directly',
 	builder: yargs => (yargs as Argv<Options>)
 		.option('part', {type: 'array', string: true, choices: ['latency', 'throughput', 'memory'], default: ['latency', 'throughput', 'memory'], describe: 'What to measure'})
 		.option('calls', {type: 'number', default: 300, describe: 'Calls each way, for latency'})
--- a/bench/path/measure.ts
+++ b/bench/path/measure.ts
@@ -16,17 +16,17 @@
 	return result;
 }
 
-/** Calls until the path is connected and both ends have compiled their hot code. */
+/** Sends calls until the path is connected and entry and side have compiled their hot code. */
 async function warmUp(path: Path, calls: number): Promise<void> {
-	const patienceEnd = performance.now() + 20_000;
+	const deadline = performance.now() + 20_000;
 	for (;;) {
 		const {outcome} = await callModel({address: path.entry.address, key: keyOf(workspace), model: 'model', prompt: 'first [[tokens=1]]'});
 		if (outcome === 'whole') {
 			break;
 		}
 
-		if (performance.now() > patienceEnd) {
-			throw new Error('The path did not come up.');
+		if (performance.now() > deadline) {
+			throw new Error('The path was not ready within 20 s.');
 		}
 
 		await pause(50);
@@ -63,7 +63,7 @@
 	}
 }
 
-/** Latency with free slots: one call at a time, direct and through the path in turns. */
+/** Measures latency with free slots: one call at a time, alternately direct and through the path. */
 export async function measureLatency(calls: number): Promise<Row[]> {
 	await using path = await startPath({stepMilliseconds: 4});
 	await warmUp(path, 300);
@@ -88,7 +88,7 @@
 	return {figure, direct: `${base.toFixed(2)} ms`, through: `${routed.toFixed(2)} ms`, result: `+${(routed - base).toFixed(2)} ms (x${(routed / base).toFixed(2)})`, target};
 }
 
-/** Processor time per token while many streams run: what one core of each role could carry. */
+/** Measures processor time per token with many concurrent streams, and the tokens per second that one core of each role can carry. */
 export async function measureThroughput(streams: number, tokens: number): Promise<Row[]> {
 	await using path = await startPath({stepMilliseconds: 2, stepMillisecondsPerRequest: 0.01, memoryTokens: 1e9});
 	await warmUp(path, 300);
@@ -107,22 +107,22 @@
 	];
 }
 
-/** Memory over many streams, one after another, and over many at once. */
+/** Measures memory over many sequential streams and over bursts of concurrent ones. */
 export async function measureMemory(sequential: number, concurrent: number): Promise<Row[]> {
 	await using path = await startPath({stepMilliseconds: 0.2, stepMillisecondsPerRequest: 0.002, memoryTokens: 1e9});
 	await warmUp(path, 300);
 	const burst = async () => Promise.all(Array.from({length: concurrent}, async (_, index) => call(path.entry.address, `burst ${index} [[tokens=20]]`)));
 	const half = sequential / 2;
 	await runSequence(path, half);
-	const middle = await settled(path);
+	const middle = await settledUsage(path);
 	await runSequence(path, half);
-	const end = await settled(path);
+	const end = await settledUsage(path);
 	const sampler = PeakSampler.create(path);
 	await burst();
 	const peak = await sampler.stop();
-	const afterFirst = await settled(path);
+	const afterFirst = await settledUsage(path);
 	await burst();
-	const afterSecond = await settled(path);
+	const afterSecond = await settledUsage(path);
 	return (['entry', 'side'] as const).flatMap(role => [
 		{figure: `${role}: heap after ${half} and ${sequential} sequential streams`, direct: megabytes(middle[role].heapBytes), through: megabytes(end[role].heapBytes), result: `${((end[role].heapBytes - middle[role].heapBytes) / half).toFixed(0)} bytes a stream`, target: 'no growth'},
 		{figure: `${role}: heap after one and two bursts of ${concurrent}`, direct: megabytes(afterFirst[role].heapBytes), through: megabytes(afterSecond[role].heapBytes), result: `${((afterSecond[role].heapBytes - afterFirst[role].heapBytes) / concurrent).toFixed(0)} bytes a stream`, target: 'no growth'},
@@ -142,17 +142,17 @@
 	return {entry: await path.entry.usage(), side: await path.side.usage()};
 }
 
-/** The least heap over a while: what a collection has left, since nothing from outside can ask for one. */
-async function settled(path: Path): Promise<Usages> {
-	let least = await usageOf(path);
+/** Returns the lowest heap size over two seconds or more, as an estimate of the heap after a garbage collection, which can't be triggered from outside. */
+async function settledUsage(path: Path): Promise<Usages> {
+	let lowest = await usageOf(path);
 	for (let sample = 0; sample < 40; sample++) {
 		await pause(50);
 		await call(path.entry.address, `settle ${sample} [[tokens=200]]`);
 		const now = await usageOf(path);
-		least = {entry: lower(least.entry, now.entry), side: lower(least.side, now.side)};
+		lowest = {entry: lower(lowest.entry, now.entry), side: lower(lowest.side, now.side)};
 	}
 
-	return least;
+	return lowest;
 }
 
 function lower(first: Usage, second: Usage): Usage {
--- a/bench/path/processes.ts
+++ b/bench/path/processes.ts
@@ -8,9 +8,9 @@
 import {type EngineCosts, FakeLog, FakeMembers} from '../../fakes/index.js';
 import {planCatalogue, type ClassPlan} from '../harness/catalogue.js';
 
-/** A program under measurement, started as an operator would start it. */
+/** A program under measurement, started as an operator starts it. */
 export class Program implements AsyncDisposable {
-	/** Starts a compiled file and waits until it says where it listens. */
+	/** Starts a compiled file and waits until it logs its address. */
 	static async create(file: string, parameters: readonly string[]): Promise<Program> {
 		const flags = process.env.BENCH_PROFILE === undefined ? [] : ['--cpu-prof', `--cpu-prof-dir=${process.env.BENCH_PROFILE}`];
 		const child = spawn(process.execPath, [...flags, file, ...parameters], {stdio: ['ignore', 'inherit', 'pipe']});
@@ -24,7 +24,7 @@
 			console.error(line);
 		}
 
-		throw new Error(`${file} ended before it listened.`);
+		throw new Error(`${file} exited before it was listening.`);
 	}
 
 	readonly address: string;
@@ -37,7 +37,7 @@
 		this.#adminPort = adminPort;
 	}
 
-	/** Processor seconds, resident and heap bytes, from the program's own metrics. */
+	/** Reads processor time, resident memory and heap size from the program's metrics. */
 	async usage(): Promise<Usage> {
 		const response = await fetch(`http://127.0.0.1:${this.#adminPort}/metrics`);
 		const text = await response.text();
@@ -56,11 +56,11 @@
 
 export type Usage = {readonly processorSeconds: number; readonly residentBytes: number; readonly heapBytes: number};
 
-/** One entry, one side and one engine, each a process; the platform's stand-ins live in this one. */
+/** One entry, one side and one engine, each in a process of its own; the platform's stand-ins run in this one. */
 export type Path = AsyncDisposable & {readonly entry: Program; readonly side: Program; readonly engine: Program};
 
-/** The only class: patient, so that nothing is refused for time. */
-const patient: ClassPlan = {
+/** The only class, with time limits so long that nothing is refused for them. */
+const patientClass: ClassPlan = {
 	name: 'patient', tier: 1, firstTokenMilliseconds: 600_000, betweenTokensMilliseconds: 1000, queueMilliseconds: 600_000,
 };
 export const workspace = 'bench';
@@ -73,7 +73,7 @@
 	const side = await Program.create('dist/src/bin/cassiaflow-side.js', [...platform, '--endpoint', 'engine', '--endpoint-url', engine.address, '--targets', 'model']);
 	const entry = await Program.create('dist/src/bin/cassiaflow-entry.js', [...platform, '--listen-port', '0']);
 	await HttpLogClient.create({baseUrl: log.url, timeoutMilliseconds: 2000}).append(catalogueStream, {
-		type: 'change', id: randomUUID(), author: 'bench', time: Date.now(), operations: planCatalogue(['model'], [workspace], [patient]).map(planned => ({type: 'put', entry: planned})),
+		type: 'change', id: randomUUID(), author: 'bench', time: Date.now(), operations: planCatalogue(['model'], [workspace], [patientClass]).map(planned => ({type: 'put', entry: planned})),
 	});
 	members.set({instance: 'side', role: 'side', address: side.address, zone: 'zone-a', state: 'live', endpoint: 'engine', targets: ['model']});
 	return {
--- a/test/bench/decisions-patterns.test.ts
+++ b/test/bench/decisions-patterns.test.ts
@@ -2,7 +2,7 @@
 import {patterns, planRequests} from '../../bench/decisions/patterns.js';
 import {capacityTokensPerSecond} from '../../bench/decisions/plan.js';
 
-tap.test('a pattern gives the same requests for the same seed, and others for another', async t => {
+tap.test('a pattern gives the same requests for the same seed, and different ones for another seed', async t => {
 	for (const pattern of patterns) {
 		const first = planRequests(pattern, 1);
 		t.same(planRequests(pattern, 1), first, pattern.name);
@@ -11,7 +11,7 @@
 	}
 });
 
-tap.test('overload asks for as much as its name says', async t => {
+tap.test('the load of an overload pattern matches its name', async t => {
 	const factor = (name: string): number => {
 		const pattern = patterns.find(one => one.name === name)!;
 		let tokens = 0;
@@ -24,8 +24,8 @@
 		return tokens * 1000 / pattern.milliseconds / capacityTokensPerSecond;
 	};
 
-	for (const [name, wanted] of [['overload-1.2', 1.2], ['overload-2', 2], ['overload-5', 5]] as const) {
-		const got = factor(name);
-		t.ok(Math.abs(got - wanted) < 0.1 * wanted, `${name} asks for ${got.toFixed(2)}`);
+	for (const [name, expected] of [['overload-1.2', 1.2], ['overload-2', 2], ['overload-5', 5]] as const) {
+		const actual = factor(name);
+		t.ok(Math.abs(actual - expected) < 0.1 * expected, `${name} asks for ${actual.toFixed(2)}`);
 	}
 });
--- a/test/bench/losses.test.ts
+++ b/test/bench/losses.test.ts
@@ -9,10 +9,10 @@
 	unserved_by: [['503', 3, ['trace']]],
 };
 
-tap.test('losses by cause and the worth that is left make one', async t => {
+tap.test('the losses by cause and the remaining worth add up to 1', async t => {
 	const losses = lossesOf(parseReport(JSON.stringify(report)));
-	const left = (0.75 * 0.8) + (0.15 * 0.4) + (0.1 * 0.6) - 0.051;
-	t.ok(Math.abs(losses.reduce((sum, {worth}) => sum + worth, 0) + left - 1) < 1e-9);
+	const remaining = (0.75 * 0.8) + (0.15 * 0.4) + (0.1 * 0.6) - 0.051;
+	t.ok(Math.abs(losses.reduce((sum, {worth}) => sum + worth, 0) + remaining - 1) < 1e-9);
 	t.equal(losses[0]!.cause, 'whole day');
 	t.match(losses.find(({cause}) => cause === 'worst windows')!.detail, /^second 2: 0\.20/v);
 	t.match(losses.find(({cause}) => cause === 'worst class')!.detail, 'a: 0.60');
