--- a/bench/decisions/patterns.ts
+++ b/bench/decisions/patterns.ts
@@ -3,7 +3,7 @@
 import {capacityTokensPerSecond, endpointCount, type PlanName, usualTokens, workspaces} from './plan.js';
 
 /** One request of a pattern. */
-export type Planned = {readonly at: number; readonly workspace: string; readonly plan: PlanName; readonly tokens: number; readonly prompt: string};
+export type PlannedRequest = {readonly at: number; readonly workspace: string; readonly plan: PlanName; readonly tokens: number; readonly prompt: string};
 
 /** A fault of an engine during a pattern. */
 export type EngineFault
@@ -35,7 +35,7 @@
 const milliseconds = 6000;
 
 /** The same load for every workspace; `load` is the fraction of the total capacity for each class. */
-function evenly(load: Readonly<Record<PlanName, (at: number) => number>>): Flow[] {
+function evenFlows(load: Readonly<Record<PlanName, (at: number) => number>>): Flow[] {
 	return workspaces.flatMap(workspace => (Object.keys(load) as PlanName[]).map(plan => ({
 		workspace, plan, load: (at: number) => load[plan](at) / workspaces.length,
 	})));
@@ -48,7 +48,7 @@
 function overload(factor: number): Flow[] {
 	const top = Math.min(0.5, factor / 3);
 	const rest = (factor - top) / 2;
-	return evenly({answer: always(top), order: always(rest), chart: always(rest)});
+	return evenFlows({answer: always(top), order: always(rest), chart: always(rest)});
 }
 
 function pattern(name: string, flows: readonly Flow[], more: Partial<Pattern> = {}): Pattern {
@@ -57,17 +57,17 @@
 
 const burstFrom = 1500;
 const burstTo = 3000;
-const burstFlows = evenly({answer: during(burstFrom, burstTo, 0.8, 0.2), order: during(burstFrom, burstTo, 1.1, 0.2), chart: during(burstFrom, burstTo, 1.1, 0.2)});
-const usualFlows = evenly({answer: always(0.25), order: always(0.3), chart: always(0.25)});
+const burstFlows = evenFlows({answer: during(burstFrom, burstTo, 0.8, 0.2), order: during(burstFrom, burstTo, 1.1, 0.2), chart: during(burstFrom, burstTo, 1.1, 0.2)});
+const usualFlows = evenFlows({answer: always(0.25), order: always(0.3), chart: always(0.25)});
 const menu = 'The menu of the house with all its allergens, dish by dish and in every language. '.repeat(40);
 
 /** All load patterns. */
 export const patterns: readonly Pattern[] = [
 	pattern('burst', burstFlows, {burstEnd: burstTo}),
-	pattern('class-burst', evenly({answer: always(0.25), order: always(0.25), chart: during(burstFrom, burstTo, 3, 0.2)}), {burstEnd: burstTo}),
+	pattern('class-burst', evenFlows({answer: always(0.25), order: always(0.25), chart: during(burstFrom, burstTo, 3, 0.2)}), {burstEnd: burstTo}),
 	pattern('hot-caller', workspaces.map((workspace, index) => ({workspace, plan: 'order', load: always(index === 0 ? 3 : 0.25)}))),
 	pattern('hot-prefix', [
-		...evenly({answer: always(0.1), order: always(0.2), chart: always(0.2)}),
+		...evenFlows({answer: always(0.1), order: always(0.2), chart: always(0.2)}),
 		{workspace: workspaces[2], plan: 'answer', load: always(0.3), prefix: menu},
 	]),
 	pattern('slow', usualFlows, {engineFaults: [{at: 0, type: 'faults', endpoint: 0, faults: {slowFactor: 4}}]}),
@@ -102,15 +102,15 @@
 ];
 
 /** Plans the requests of a pattern: Poisson arrivals that depend only on pattern and seed, so that all variants get the same. */
-export function planRequests({flows, milliseconds: until}: Pattern, seed: number): readonly Planned[] {
+export function planRequests({flows, milliseconds: until}: Pattern, seed: number): readonly PlannedRequest[] {
 	const random = createRandom(seed);
 	return flows.flatMap(flow => planFlow(flow, until, random)).toSorted((one, other) => one.at - other.at);
 }
 
 const thinningStepMilliseconds = 10;
 
-function planFlow(flow: Flow, until: number, random: Random): readonly Planned[] {
-	const planned: Planned[] = [];
+function planFlow(flow: Flow, until: number, random: Random): readonly PlannedRequest[] {
+	const planned: PlannedRequest[] = [];
 	const mean = flow.meanTokens ?? usualTokens[flow.plan];
 	const ratePerLoad = capacityTokensPerSecond / mean / 1000;
 	let due = random.exponential(1);
--- a/bench/decisions/run.ts
+++ b/bench/decisions/run.ts
@@ -4,12 +4,12 @@
 import {keyOf, planCatalogue} from '../harness/catalogue.js';
 import {LocalFleet} from '../harness/local-fleet.js';
 import {createRandom} from '../harness/random.js';
-import {type Pattern, type Planned, planRequests, type EngineFault} from './patterns.js';
+import {type Pattern, type PlannedRequest, planRequests, type EngineFault} from './patterns.js';
 import {costs, endpointCount, entryCount, model, plans, workspaces} from './plan.js';
 import {type Variant} from './variants.js';
 
 /** One request and its result. */
-export type Sample = {readonly planned: Planned; readonly sentAt: number; readonly result: CallResult};
+export type Sample = {readonly planned: PlannedRequest; readonly sentAt: number; readonly result: CallResult};
 
 /** One run of a pattern: the results of all callers, and the engineWork of the engines. */
 export type RunRecord = {
@@ -79,7 +79,7 @@
 	return {tokens: sum(engines.map(engine => engine.tokensProduced)), prefilled: sum(engines.map(engine => engine.prefilledTokens))};
 }
 
-async function send(planned: Planned, startedAt: number, address: string): Promise<Sample> {
+async function send(planned: PlannedRequest, startedAt: number, address: string): Promise<Sample> {
 	await delay(startedAt + planned.at - performance.now());
 	const sentAt = performance.now() - startedAt;
 	const result = await callModel({
--- a/bench/gateway-soak/caller.ts
+++ b/bench/gateway-soak/caller.ts
@@ -4,7 +4,7 @@
 export type Kind = 'lookup' | 'release' | 'chart' | 'question';
 
 /** One request and its result as seen by the caller. */
-export type Exchanged = {
+export type ExchangeRecord = {
 	readonly id: string;
 	readonly kind: Kind;
 	status: number;
@@ -18,9 +18,9 @@
 const deadlineMilliseconds = 1500;
 
 /** Sends one request; resolves when its response has ended, cleanly or not. */
-export function sendRequest({id, kind, port, key}: {id: string; kind: Kind; port: number; key: string}): Promise<Exchanged> {
+export function sendRequest({id, kind, port, key}: {id: string; kind: Kind; port: number; key: string}): Promise<ExchangeRecord> {
 	return new Promise(resolve => {
-		const record: Exchanged = {id, kind, status: 0, body: '', isWhole: false};
+		const record: ExchangeRecord = {id, kind, status: 0, body: '', isWhole: false};
 		const method = kind === 'lookup' ? 'GET' : 'POST';
 		const sent = httpRequest({
 			host: '127.0.0.1', port, method, path: `/${kind}/1`, agent: false, timeout: deadlineMilliseconds + 500,
--- a/bench/gateway-soak/checker.ts
+++ b/bench/gateway-soak/checker.ts
@@ -1,11 +1,11 @@
 import {type FakePlatformWorker} from '../../fakes/platform-worker.js';
-import {eventCount, type Exchanged} from './caller.js';
+import {eventCount, type ExchangeRecord} from './caller.js';
 
 /** Statuses that guarantee that the request has not run and never will. */
 const notRunStatuses = new Set([408, 421, 429, 503]);
 
 /** Returns the violations found by comparing the callers' records with those of the workers. */
-export function violations(records: readonly Exchanged[], workers: readonly FakePlatformWorker[]): string[] {
+export function violations(records: readonly ExchangeRecord[], workers: readonly FakePlatformWorker[]): string[] {
 	const runs = countRuns(workers);
 	return records.flatMap(record => violatedRules(record, runs.get(record.id) ?? 0).map(rule => `${rule}: ${record.kind} ${record.id}, status ${record.status}, ${runs.get(record.id) ?? 0} runs`));
 }
@@ -22,7 +22,7 @@
 	return runs;
 }
 
-function violatedRules({id, kind, status, body, isWhole}: Exchanged, runs: number): string[] {
+function violatedRules({id, kind, status, body, isWhole}: ExchangeRecord, runs: number): string[] {
 	const found: string[] = [];
 	const isAtMostOnce = kind === 'release' || kind === 'question';
 	if (isAtMostOnce && runs > 1) {
--- a/bench/gateway-soak/run-seed.ts
+++ b/bench/gateway-soak/run-seed.ts
@@ -5,7 +5,7 @@
 import {FakePlatformStore} from '../../fakes/platform-store.js';
 import {FakePlatformWorker, type WorkerAnswer, type WorkerRequest} from '../../fakes/platform-worker.js';
 import {createRandom, type Random} from '../harness/random.js';
-import {sendRequest, eventCount, type Exchanged, kinds} from './caller.js';
+import {sendRequest, eventCount, type ExchangeRecord, kinds} from './caller.js';
 import {violations} from './checker.js';
 import {GatewayChild} from './child.js';
 
@@ -41,8 +41,8 @@
 const rewriteMilliseconds = 2000;
 /** Allowed time after the last fault: enough for the poll intervals of a routing table and for a graceful shutdown. */
 const settleMilliseconds = 10_000;
-const keyKept = 'key-a';
-const keyRevoked = 'key-b';
+const validKey = 'key-a';
+const revokedKey = 'key-b';
 
 /** Runs real gateways with faults drawn from a seed. */
 export async function runSeed(seed: number, basePort: number): Promise<SeedResult> {
@@ -81,7 +81,7 @@
 	readonly #folder = mkdtempSync(`${tmpdir()}/cassiaflow-soak-`);
 	readonly #workers: Worker[] = [];
 	readonly #gateways: GatewayChild[] = [];
-	readonly #records: Array<Promise<Exchanged>> = [];
+	readonly #records: Array<Promise<ExchangeRecord>> = [];
 	readonly #injected: string[] = [];
 	readonly #faultsDone: Array<Promise<void>> = [];
 	#answerMode: WorkerAnswer['type'] | 'cut' = 'whole';
@@ -134,7 +134,7 @@
 		const until = performance.now() + trafficMilliseconds;
 		for (let number = 0; performance.now() < until; number++) {
 			const gateway = this.#gateways[number % this.#gateways.length]!;
-			const key = number % 5 === 0 && !this.#isRevoked ? keyRevoked : keyKept;
+			const key = number % 5 === 0 && !this.#isRevoked ? revokedKey : validKey;
 			this.#records.push(sendRequest({id: `s${this.#seed}-${number}`, kind: kinds[Math.floor(this.#random.uniform() * kinds.length)]!, port: gateway.callerPort, key}));
 			await sleep(requestPauseMilliseconds);
 		}
@@ -148,8 +148,8 @@
 			let consecutiveGood = 0;
 			let last = 0;
 			for (let number = 0; consecutiveGood < 10 && performance.now() < until; number++) {
-				const {status} = await sendRequest({id: `s${this.#seed}-after-${gateway.options.instance}-${number}`, kind: 'lookup', port: gateway.callerPort, key: keyKept});
-				const revoked = await sendRequest({id: `s${this.#seed}-revoked-${gateway.options.instance}-${number}`, kind: 'lookup', port: gateway.callerPort, key: keyRevoked});
+				const {status} = await sendRequest({id: `s${this.#seed}-after-${gateway.options.instance}-${number}`, kind: 'lookup', port: gateway.callerPort, key: validKey});
+				const revoked = await sendRequest({id: `s${this.#seed}-revoked-${gateway.options.instance}-${number}`, kind: 'lookup', port: gateway.callerPort, key: revokedKey});
 				consecutiveGood = status === 200 && (revoked.status === 401) === this.#isRevoked ? consecutiveGood + 1 : 0;
 				last = status;
 				await sleep(consecutiveGood > 0 ? 0 : 100);
@@ -313,7 +313,7 @@
 	}
 
 	#publishAgain(): void {
-		const tenants = [{name: 'studio-a', apiKeys: [keyKept]}, {name: 'studio-b', apiKeys: this.#isRevoked ? [] : [keyRevoked]}];
+		const tenants = [{name: 'studio-a', apiKeys: [validKey]}, {name: 'studio-b', apiKeys: this.#isRevoked ? [] : [revokedKey]}];
 		this.#store.put('keyed.op', 'config', desiredState(this.#version, {tenants}));
 	}
 }
--- a/bench/soak/checker.ts
+++ b/bench/soak/checker.ts
@@ -20,7 +20,7 @@
 };
 
 /** What the stand-ins recorded, independently of the product. */
-export type Truth = {
+export type GroundTruth = {
 	readonly runsOfPrompt: (prompt: string) => number;
 	readonly runsOfKey: (key: string) => number;
 	/** How many engine crashes each prompt caused. */
@@ -38,11 +38,11 @@
  * Checks the results of callers against what the stand-ins ran. Does not use the product's own counts,
  * so that wrong counts cannot hide a violation.
  */
-export function checkCalls(calls: readonly CallRecord[], truth: Truth): Violation[] {
-	return calls.flatMap(call => [...checkCall(call, truth)]);
+export function checkCalls(calls: readonly CallRecord[], groundTruth: GroundTruth): Violation[] {
+	return calls.flatMap(call => [...checkCall(call, groundTruth)]);
 }
 
-function * checkCall(call: CallRecord, truth: Truth): Generator<Violation> {
+function * checkCall(call: CallRecord, groundTruth: GroundTruth): Generator<Violation> {
 	const violation = (rule: string, detail: string): Violation => ({rule, detail: `${detail} (${call.prompt.slice(0, 40)}, ${call.className}, code ${call.code ?? 'none'}, ${call.ending})`, at: call.endedAt});
 	if (call.outcome === 'wrong') {
 		yield violation('own whole answer', 'the text is not the one that every engine gives to this prompt');
@@ -52,12 +52,12 @@
 		yield violation('verdict', 'a failure without a verdict');
 	}
 
-	if (call.outcome === 'broken' && !call.callerLeft && !isBrokenByCrash(call, truth)) {
+	if (call.outcome === 'broken' && !call.callerLeft && !isBrokenByCrash(call, groundTruth)) {
 		yield violation('whole answer or verdict', 'the answer broke off without a word, and its entry had not crashed');
 	}
 
-	if (call.key !== undefined && truth.runsOfKey(call.key) > 1) {
-		yield violation('at most once', `key ${call.key} ran ${truth.runsOfKey(call.key)} times`);
+	if (call.key !== undefined && groundTruth.runsOfKey(call.key) > 1) {
+		yield violation('at most once', `key ${call.key} ran ${groundTruth.runsOfKey(call.key)} times`);
 	}
 
 	if (call.endedAt - call.startedAt > longestCallMilliseconds) {
@@ -66,36 +66,36 @@
 }
 
 /** A crash of the entry breaks its callers' connections, so that they get no verdict. */
-function isBrokenByCrash(call: CallRecord, truth: Truth): boolean {
-	const crashedAt = truth.crashedEntries.get(call.entry);
+function isBrokenByCrash(call: CallRecord, groundTruth: GroundTruth): boolean {
+	const crashedAt = groundTruth.crashedEntries.get(call.entry);
 	return crashedAt !== undefined && crashedAt <= call.endedAt;
 }
 
 /** Finds keys that ran although every call with the key was refused as not run. */
-export function checkKeys(calls: readonly CallRecord[], truth: Truth): Violation[] {
+export function checkKeys(calls: readonly CallRecord[], groundTruth: GroundTruth): Violation[] {
 	const keyed = calls.filter(({key}) => key !== undefined);
-	return findFalseNotRun(groupBy(keyed, ({key}) => key!), truth.runsOfKey);
+	return findFalseNotRun(groupBy(keyed, ({key}) => key!), groundTruth.runsOfKey);
 }
 
 /**
  * The same check for calls without a key, by prompt. Prompts are unique unless a caller sends one again;
  * then an earlier call may have run and a later one correctly not.
  */
-export function checkNotRun(calls: readonly CallRecord[], truth: Truth): Violation[] {
+export function checkNotRun(calls: readonly CallRecord[], groundTruth: GroundTruth): Violation[] {
 	const plain = calls.filter(({key}) => key === undefined);
-	return findFalseNotRun(groupBy(plain, ({prompt}) => prompt), truth.runsOfPrompt);
+	return findFalseNotRun(groupBy(plain, ({prompt}) => prompt), groundTruth.runsOfPrompt);
 }
 
 function findFalseNotRun(groups: ReadonlyMap<string, readonly CallRecord[]>, runsOf: (name: string) => number): Violation[] {
-	return [...groups].flatMap(([name, sends]) => {
-		const allNotRun = sends.every(send => send.outcome === 'failed' && send.verdict === 'not-run');
+	return [...groups].flatMap(([name, attempts]) => {
+		const allNotRun = attempts.every(attempt => attempt.outcome === 'failed' && attempt.verdict === 'not-run');
 		const ran = runsOf(name);
 		if (allNotRun && ran > 0) {
-			return [{rule: 'not run', detail: `every sending of ${name} said not-run, it ran ${ran} times`, at: sends.at(-1)!.endedAt}];
+			return [{rule: 'not run', detail: `every sending of ${name} said not-run, it ran ${ran} times`, at: attempts.at(-1)!.endedAt}];
 		}
 
 		// A complete response without a run shows that the lookup uses a wrong name, in which case this check would find nothing.
-		const whole = sends.find(({outcome}) => outcome === 'whole');
+		const whole = attempts.find(({outcome}) => outcome === 'whole');
 		return whole !== undefined && ran === 0 ? [{rule: 'truth', detail: `${name} was answered and no engine ran it`, at: whole.endedAt}] : [];
 	});
 }
@@ -113,8 +113,8 @@
 /** How many endpoints one request may crash within the quarantine period, which is longer than a run. */
 const maximumCrashes = 2;
 
-export function checkCrashes(truth: Truth, at: number): Violation[] {
-	return [...truth.crashesByPrompt].filter(([, crashes]) => crashes > maximumCrashes).map(([prompt, crashes]) => ({
+export function checkCrashes(groundTruth: GroundTruth, at: number): Violation[] {
+	return [...groundTruth.crashesByPrompt].filter(([, crashes]) => crashes > maximumCrashes).map(([prompt, crashes]) => ({
 		rule: 'requests that crash endpoints', detail: `${prompt} took down ${crashes} endpoints`, at,
 	}));
 }
--- a/bench/soak/load.ts
+++ b/bench/soak/load.ts
@@ -96,8 +96,8 @@
 	}
 
 	async #sendPoison(prompt: string, target: number): Promise<void> {
-		for (let sending = 0; sending < poisonSends; sending++) {
-			await this.#sendCall({...steadyCaller, prompt, plan: soakClasses[1]!, workspace: workspaces[target % workspaces.length]!, target: target + sending});
+		for (let attempt = 0; attempt < poisonSends; attempt++) {
+			await this.#sendCall({...steadyCaller, prompt, plan: soakClasses[1]!, workspace: workspaces[target % workspaces.length]!, target: target + attempt});
 		}
 	}
 
@@ -108,8 +108,8 @@
 			...steadyCaller, key, prompt: `seed ${this.#seed} ticket ${this.#sent} [[tokens=30]]`, plan: ticketClass, workspace: workspaces[target % workspaces.length]!,
 		};
 		await Promise.all([this.#sendCall({...call, target}), this.#sendCall({...call, target: target + 1})]);
-		for (let sending = 1; sending < keyedSends; sending++) {
-			await this.#sendCall({...call, target: target + sending});
+		for (let attempt = 1; attempt < keyedSends; attempt++) {
+			await this.#sendCall({...call, target: target + attempt});
 		}
 	}
 
--- a/bench/soak/plan.ts
+++ b/bench/soak/plan.ts
@@ -1,6 +1,6 @@
 import {type Random} from '../harness/random.js';
 
-/** Every fault that the soak can inject. Numbers pick the part that is hit, modulo how many there are. */
+/** Every fault that the soak can inject. `target` selects the affected process, modulo the number of processes. */
 export const faultKinds = [
 	'engine-crash',
 	'engine-crash-mid-stream',
--- a/bench/soak/run-seed.ts
+++ b/bench/soak/run-seed.ts
@@ -33,10 +33,10 @@
 	await world.heal();
 	await callers.settled();
 	const violations = [
-		...checkCalls(callers.records, world.truth),
-		...checkKeys(callers.records, world.truth),
-		...checkNotRun(callers.records, world.truth),
-		...checkCrashes(world.truth, performance.now()),
+		...checkCalls(callers.records, world.groundTruth),
+		...checkKeys(callers.records, world.groundTruth),
+		...checkNotRun(callers.records, world.groundTruth),
+		...checkCrashes(world.groundTruth, performance.now()),
 		...world.violations,
 		...world.offsets.violations,
 		...await checkAgreement(world),
--- a/bench/soak/world.ts
+++ b/bench/soak/world.ts
@@ -2,7 +2,7 @@
 import {type CallResult} from '../harness/caller.js';
 import {LocalFleet, type LocalEndpoint, type LocalEntry} from '../harness/local-fleet.js';
 import {type Random} from '../harness/random.js';
-import {OffsetWatch, type Truth, type Violation} from './checker.js';
+import {OffsetWatch, type GroundTruth, type Violation} from './checker.js';
 
 export const soakModel = 'soak-7b';
 /** A prompt that contains this text crashes every engine that starts it. */
@@ -64,7 +64,7 @@
 		}, watchMilliseconds);
 	}
 
-	get truth(): Truth {
+	get groundTruth(): GroundTruth {
 		const sum = (count: (engine: FakeEngine) => number): number => [...this.engines].reduce((total, engine) => total + count(engine), 0);
 		return {
 			runsOfPrompt: prompt => sum(engine => engine.runsByPrompt.get(`user: ${prompt}`) ?? 0),
--- a/test/soak/checker.test.ts
+++ b/test/soak/checker.test.ts
@@ -1,5 +1,5 @@
 import tap from 'tap';
-import {checkCalls, checkCrashes, checkKeys, checkNotRun, OffsetWatch, type CallRecord, type Truth} from '../../bench/soak/checker.js';
+import {checkCalls, checkCrashes, checkKeys, checkNotRun, OffsetWatch, type CallRecord, type GroundTruth} from '../../bench/soak/checker.js';
 import {planFaults} from '../../bench/soak/plan.js';
 import {createRandom} from '../../bench/harness/random.js';
 
@@ -7,11 +7,11 @@
 	prompt: 'soup', key: undefined, className: 'order', entry: 'e1', startedAt: 0, endedAt: 10, outcome: 'whole', verdict: undefined, code: undefined, ending: '', callerLeft: false, tokens: 3, firstTokenMilliseconds: 1, dueMilliseconds: 5,
 };
 
-function truth(more: Partial<Truth> = {}): Truth {
+function groundTruth(more: Partial<GroundTruth> = {}): GroundTruth {
 	return {runsOfPrompt: () => 1, runsOfKey: () => 1, crashesByPrompt: new Map(), crashedEntries: new Map(), ...more};
 }
 
-function rules(calls: CallRecord[], known = truth()): string[] {
+function rules(calls: CallRecord[], known = groundTruth()): string[] {
 	return [...checkCalls(calls, known), ...checkKeys(calls, known), ...checkNotRun(calls, known)].map(violation => violation.rule);
 }
 
@@ -20,15 +20,15 @@
 	t.same(rules([{...call, outcome: 'wrong'}]), ['own whole answer']);
 	t.same(rules([{...call, outcome: 'failed'}]), ['verdict']);
 	t.same(rules([{...call, outcome: 'failed', verdict: 'not-run'}]), ['not run']);
-	t.same(rules([{...call, outcome: 'failed', verdict: 'not-run'}], truth({runsOfPrompt: () => 0})), []);
+	t.same(rules([{...call, outcome: 'failed', verdict: 'not-run'}], groundTruth({runsOfPrompt: () => 0})), []);
 	t.same(rules([{...call, outcome: 'failed', verdict: 'may-have-run'}]), []);
 	t.same(rules([{...call, outcome: 'broken'}]), ['whole answer or verdict']);
-	t.same(rules([{...call, outcome: 'broken'}], truth({crashedEntries: new Map([['e1', 5]])})), []);
-	t.same(rules([{...call, key: 'k'}], truth({runsOfKey: () => 2})), ['at most once']);
+	t.same(rules([{...call, outcome: 'broken'}], groundTruth({crashedEntries: new Map([['e1', 5]])})), []);
+	t.same(rules([{...call, key: 'k'}], groundTruth({runsOfKey: () => 2})), ['at most once']);
 	t.same(rules([{...call, key: 'k', outcome: 'failed', verdict: 'not-run'}]), ['not run']);
-	t.same(rules([call], truth({runsOfPrompt: () => 0})), ['truth'], 'a complete response without a recorded run is reported');
+	t.same(rules([call], groundTruth({runsOfPrompt: () => 0})), ['truth'], 'a complete response without a recorded run is reported');
 	t.same(rules([{...call, endedAt: 100_000}]), ['ends']);
-	t.same(checkCrashes(truth({crashesByPrompt: new Map([['poison', 3], ['other', 2]])}), 0).length, 1);
+	t.same(checkCrashes(groundTruth({crashesByPrompt: new Map([['poison', 3], ['other', 2]])}), 0).length, 1);
 });
 
 tap.test('an offset that decreases is found', async t => {
--- a/test/soak/gateway-checker.test.ts
+++ b/test/soak/gateway-checker.test.ts
@@ -1,11 +1,11 @@
 import tap from 'tap';
-import {type Exchanged} from '../../bench/gateway-soak/caller.js';
+import {type ExchangeRecord} from '../../bench/gateway-soak/caller.js';
 import {violations} from '../../bench/gateway-soak/checker.js';
 import {FakePlatformWorker} from '../../fakes/platform-worker.js';
 
-async function check(record: Partial<Exchanged>, runs: number): Promise<string[]> {
+async function check(record: Partial<ExchangeRecord>, runs: number): Promise<string[]> {
 	const worker = await FakePlatformWorker.create('w', 's');
-	const whole: Exchanged = {id: 'a', kind: 'release', status: 200, body: 'answer to a', isWhole: true, ...record};
+	const whole: ExchangeRecord = {id: 'a', kind: 'release', status: 200, body: 'answer to a', isWhole: true, ...record};
 	for (let number = 0; number < runs; number++) {
 		worker.requests.push({id: 'a', method: 'POST', path: '/', headers: {}, body: '', wasRun: true});
 	}
@@ -31,7 +31,7 @@
 });
 
 tap.test('the gateway soak\'s checker finds gaps, repeats and foreign events', async t => {
-	const stream: Partial<Exchanged> = {kind: 'question'};
+	const stream: Partial<ExchangeRecord> = {kind: 'question'};
 	t.same(await check({...stream, body: events('a', [1, 2, 3, 4, 5, 6])}, 1), []);
 	t.same(await check({...stream, body: events('a', [1, 2]), isWhole: false}, 1), []);
 	t.match(await check({...stream, body: events('a', [1, 2])}, 1), [/a stream/v]);
