--- a/src/model/failure.ts
+++ b/src/model/failure.ts
@@ -71,7 +71,7 @@
 	return {kind, message, verdict: Verdict.notRun, ...more};
 }
 
-/** An error that carries a failure through code that throws. */
+/** A `Failure` as an error, for code that reports failures by throwing. */
 export class RequestError extends Error {
 	static create(failure: Failure): RequestError {
 		return new RequestError(failure);
--- a/src/model/identifiers.ts
+++ b/src/model/identifiers.ts
@@ -6,9 +6,9 @@
 
 /** The id of one request of a caller, globally unique; a UUIDv7, so that ids sort by arrival. */
 export type RequestId = Branded<'request'>;
-/** The id of one running process of the system, unique to each incarnation of it. */
+/** The id of one running process. A process that restarts gets a new id, so each incarnation has its own. */
 export type InstanceId = Branded<'instance'>;
-/** The id of a backend: a model engine or a plain service, which is served by one side (its sidecar process). */
+/** The id of a backend, which is a model engine or a plain service. One side (a sidecar process) serves each endpoint. */
 export type EndpointId = Branded<'endpoint'>;
 /** A customer, whose keys, classes and fair share are defined in the catalogue. */
 export type WorkspaceName = Branded<'workspace'>;
--- a/src/model/index.ts
+++ b/src/model/index.ts
@@ -1,4 +1,4 @@
-/** The values that all parts share: identifiers, tiers, verdicts, failures and request summaries. */
+/** The value types that all parts share: identifiers, tiers, verdicts, failures, request summaries, addresses and log positions. */
 export * from './identifiers.js';
 export * from './verdict.js';
 export * from './failure.js';
--- a/src/model/request.ts
+++ b/src/model/request.ts
@@ -16,7 +16,7 @@
 	readonly idempotent: boolean;
 	/** The time after arrival at which the first token is due. */
 	readonly firstTokenMilliseconds: number;
-	/** The time between tokens that the class tolerates; the queue's own setting if absent. */
+	/** The longest time between tokens that the class tolerates; if absent, the setting of the side's queue applies. */
 	readonly betweenTokensMilliseconds?: number;
 	/** The time after arrival up to which the request may wait in a queue. */
 	readonly queueMilliseconds: number;
@@ -28,6 +28,9 @@
 	readonly prefix: string;
 	/** The number of its preemptions; 0 if absent. A preempted request resumes, and `promptTokens` includes its tokens so far. */
 	readonly preemptions?: number;
-	/** False at a side that is asked in addition to another: it preempts only at the last possible time, so that two sides don't preempt for one request. */
+	/**
+	 * False if another side was sent the reservation of this request first: this side then preempts only at the last possible
+	 * time, so that two sides don't preempt for one request.
+	 */
 	readonly asksFirst?: boolean;
 };
--- a/src/model/verdict.ts
+++ b/src/model/verdict.ts
@@ -14,7 +14,7 @@
 	return first === Verdict.mayHaveRun || second === Verdict.mayHaveRun ? Verdict.mayHaveRun : Verdict.notRun;
 }
 
-/** True if a retry can't run the request twice, or if running it twice is harmless. */
+/** True if the request certainly did not run, or if it may have run and is idempotent. A request that certainly ran is not retried. */
 export function mayRetry(verdict: Verdict, idempotent: boolean): boolean {
 	return verdict === Verdict.notRun || (verdict === Verdict.mayHaveRun && idempotent);
 }
