--- a/src/routing/endpoint-directory.ts
+++ b/src/routing/endpoint-directory.ts
@@ -26,9 +26,9 @@
 type Tombstone = LogPosition & {readonly at: number};
 
 /**
- * The store drops endpoints that could not reach it, and possibly all endpoints of a service. Each request would then
- * be refused although the endpoints serve. An ended endpoint therefore remains
- * a last resort for this time: shorter than the two seconds within which healthy endpoints have registered again.
+ * How long an ended endpoint remains a last resort. The store removes endpoints that could not reach it, possibly all endpoints of a
+ * service at once; without a last resort each request would then be refused although the endpoints still serve. The time is shorter
+ * than the two seconds within which healthy endpoints have registered again.
  */
 export const lastResortMilliseconds = 1200;
 /**
@@ -40,9 +40,9 @@
 export const tombstoneMilliseconds = 120_000;
 /**
  * The grace period of unconfirmed endpoints. After a restore from a backup the store lacks the endpoints that registered since the backup.
- * Without the grace period a whole service would count as ended although all its endpoints serve. Endpoints register again within about
- * two seconds, and one of the instances polls them within three more; the rest allows for a slow store. Whether an unconfirmed endpoint
- * responds is determined by its health, as for any other.
+ * Without the grace period all endpoints of a service could count as ended although they still serve. Endpoints register again within
+ * about two seconds, and one of the instances reads these registrations from the store within three more; the rest allows for a slow
+ * store. Whether an unconfirmed endpoint responds is determined by its health, as for any other.
  */
 export const unconfirmedMilliseconds = 8000;
 
@@ -138,12 +138,13 @@
 	return (bornAt ?? -Infinity) > (other ?? -Infinity);
 }
 
-/** The newest position at which an endpoint is known to be registered. */
+/** The newest position at which an endpoint is known to be registered: `newestPosition` without the revision. */
 export function positionOf(registrations: Registrations): LogPosition {
 	const {era, offset} = newestPosition(registrations);
 	return {era, offset};
 }
 
+/** When the endpoint ended, or when its grace period ends if no record confirms it; undefined if neither applies. */
 function endTimeOf({endedAt, unconfirmedUntil}: EndpointEntry): number | undefined {
 	return endedAt ?? unconfirmedUntil;
 }
--- a/src/routing/registrations.ts
+++ b/src/routing/registrations.ts
@@ -6,7 +6,10 @@
 /** The registrations of an incarnation, one for each era, the oldest first; never empty. */
 export type Registrations = readonly Registration[];
 
-/** Number of eras kept for one incarnation: the store is restored from a backup only in drills, not every few minutes. */
+/**
+ * Number of eras kept for one incarnation. A few are enough, since the store is restored from a backup only in drills, not
+ * every few minutes.
+ */
 const maxEras = 3;
 
 /** The registrations after one more record of the incarnation; the same object if the record adds nothing. */
--- a/src/routing/routing-table.ts
+++ b/src/routing/routing-table.ts
@@ -1,7 +1,10 @@
 import {type WorkspaceName, type ZoneName} from '../model/index.js';
 import {type UrgencyPair, UrgencyRanks} from './urgency-ranks.js';
 
-/** Which requests may be retried: `safe` ones may run more than once; a stream only if its route is `resumable`. */
+/**
+ * Which requests may be retried: `safe` ones may run more than once, `unsafe` ones may not, and a stream may only if its route
+ * is `resumable`.
+ */
 export const RouteKind = {safe: 'safe', unsafe: 'unsafe', stream: 'stream'} as const;
 export type RouteKind = (typeof RouteKind)[keyof typeof RouteKind];
 
@@ -19,9 +22,9 @@
 	/** True if a stream may be resumed at another endpoint after its last complete event. */
 	readonly resumable: boolean;
 	readonly shares: readonly ServiceShare[];
-	/** The longest time that a caller may have to wait for the end of its response. */
+	/** Time from a request's arrival within which its response must end. */
 	readonly timeoutMilliseconds: number;
-	/** A response counts fully if its first byte, or first event, arrives within this time. */
+	/** A response is on time if its first byte, or first event, arrives within this time. */
 	readonly targetMilliseconds: number;
 	/** 0 is the most urgent. */
 	readonly urgency: number;
@@ -105,7 +108,8 @@
 	/** The shortest and the longest of the pause limits of a service's streams. */
 	readonly #pauses = new Map<string, {shortest: number; longest: number}>();
 	readonly #ranks = new Map<string, UrgencyRanks>();
-	readonly #urgencies = new Map<string, {readonly most: number; readonly least: number}>();
+	/** For each service, the range of ranks of its requests that are not latency-critical. */
+	readonly #rankRanges = new Map<string, {readonly most: number; readonly least: number}>();
 	readonly #needsKeys: boolean;
 
 	private constructor({version, routes, services, workspaces, limits}: RoutingTableInput) {
@@ -155,7 +159,10 @@
 		return workspace === undefined && this.#needsKeys && !route.isPublic ? {type: 'unknown-key'} : {type: 'allowed', workspace};
 	}
 
-	/** True if the route's streams are latency-critical: they have the strictest pause limit of the service, and another is clearly longer. */
+	/**
+	 * True if the route's streams are latency-critical: they have the strictest pause limit of the service, and the longest
+	 * one is at least `distinctPauseRatio` times as long.
+	 */
 	isLatencyCritical(route: Route, service: string): boolean {
 		const pauses = this.#pauses.get(service);
 		return pauses !== undefined && route.longestPauseMilliseconds === pauses.shortest && pauses.longest >= pauses.shortest * distinctPauseRatio;
@@ -168,7 +175,7 @@
 
 	/** The range of ranks among a service's requests that are not latency-critical. */
 	urgencies(service: string): {readonly most: number; readonly least: number} {
-		return this.#urgencies.get(service) ?? {most: 0, least: 0};
+		return this.#rankRanges.get(service) ?? {most: 0, least: 0};
 	}
 
 	/** The shortest pause limit of any of a service's streams; infinite if there is none. */
@@ -188,7 +195,7 @@
 		const otherRanks = routes.filter(route => !this.isLatencyCritical(route, service)).flatMap(route => pairsOf(route)).map(pair => ranks.rank(pair));
 		this.#ranks.set(service, ranks);
 		if (otherRanks.length > 0) {
-			this.#urgencies.set(service, {most: Math.min(...otherRanks), least: Math.max(...otherRanks)});
+			this.#rankRanges.set(service, {most: Math.min(...otherRanks), least: Math.max(...otherRanks)});
 		}
 	}
 
--- a/src/routing/urgency-ranks.ts
+++ b/src/routing/urgency-ranks.ts
@@ -2,9 +2,9 @@
 export type UrgencyPair = {readonly route: number; readonly workspace: number | undefined};
 
 /**
- * Orders pairs by urgency, the most urgent first. A pair has the same meaning in every routing table, a rank only in its own. If ranks were
- * compared and the operator added a workspace with another urgency while requests are queued, earlier drafts would be
- * served before later confirmations.
+ * Orders pairs by urgency, the most urgent first. A pair has the same meaning in every routing table, a rank only in its own. If the
+ * operator added a workspace with another urgency while requests are queued, a comparison of ranks would mix ranks of two tables, and
+ * less urgent requests of before the change (such as drafts) would be served before more urgent later ones (such as confirmations).
  */
 export function compareUrgency(left: UrgencyPair, right: UrgencyPair): number {
 	return compareNumbers(primaryUrgency(left), primaryUrgency(right)) || compareNumbers(left.route, right.route);
@@ -12,9 +12,9 @@
 
 /**
  * Ranks of the requests that one service may receive, 0 for the most urgent. A workspace's urgency takes precedence over
- * the route's; between requests of equally urgent workspaces the route's decides. Without the second criterion, workspaces of
- * the same urgency would make all their routes equal, and an urgent stream would be admitted last, as if
- * it were a draft.
+ * the route's; between requests of equally urgent workspaces the route's decides. Without the second criterion, all routes of
+ * workspaces with the same urgency would have one rank, and an urgent stream would be admitted last, like the least urgent request
+ * (such as a draft).
  */
 export class UrgencyRanks {
 	static create(pairs: readonly UrgencyPair[]): UrgencyRanks {
