--- a/src/gateway/attempt-state.ts
+++ b/src/gateway/attempt-state.ts
@@ -6,8 +6,8 @@
 import {type ResponseMetadata, type RawHeaders, type RequestCodec} from './types.js';
 
 /**
- * An endpoint that is silent for this much longer than three times the expected time is reported as unreachable, even if the
- * request stays there.
+ * An endpoint that has sent nothing for three times the expected time plus this margin is reported as unreachable, even if the
+ * request is not moved to another endpoint.
  */
 const silenceMarginMilliseconds = 400;
 
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -24,8 +24,8 @@
 };
 
 /**
- * A connection is established within a few milliseconds or its endpoint is gone; two lost SYN packets would take seconds. This
- * timeout leaves time for another endpoint.
+ * A connection to a running endpoint is established within a few milliseconds. After two lost SYN packets it would take seconds; this
+ * timeout ends the attempt earlier, so that time is left for another endpoint.
  */
 const connectTimeoutMilliseconds = 350;
 
--- a/src/gateway/caller.ts
+++ b/src/gateway/caller.ts
@@ -2,7 +2,7 @@
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {type RawHeaders} from './types.js';
 
-/** With this much unsent data for a slow caller, the endpoint's stream is paused. */
+/** If at least this much data for a slow caller is unsent, the endpoint's response is paused. */
 const maxUnsentBytes = 256 * 1024;
 
 /** Result of reading a caller's body. */
--- a/src/gateway/connection-pool.ts
+++ b/src/gateway/connection-pool.ts
@@ -11,8 +11,8 @@
 /** Subtracted from the idle timeout that an endpoint announces, for the network delay. */
 const idleMarginMilliseconds = 1000;
 /**
- * An endpoint registers as soon as it has started, and this instance is notified within this time: a connection that is older
- * belongs to the previous incarnation.
+ * An endpoint registers as soon as it has started, and this instance is notified within this time. A connection that is older than
+ * this at the notification therefore belongs to a previous incarnation.
  */
 const restartNoticeMilliseconds = 2000;
 /** TCP keep-alive probes start after this silence, so that a dead connection is detected. */
@@ -68,9 +68,9 @@
 	}
 
 	override keepSocketAlive(socket: FreeSocket): boolean {
-		const hint = /timeout=(?<seconds>\d+)/v.exec(socket._httpMessage?.res?.headers['keep-alive'] ?? '')?.groups?.seconds;
-		const hinted = hint === undefined ? maxIdleMilliseconds : (Number(hint) * 1000) - idleMarginMilliseconds;
-		const milliseconds = Math.min(maxIdleMilliseconds, hinted);
+		const announcedSeconds = /timeout=(?<seconds>\d+)/v.exec(socket._httpMessage?.res?.headers['keep-alive'] ?? '')?.groups?.seconds;
+		const announcedMilliseconds = announcedSeconds === undefined ? maxIdleMilliseconds : (Number(announcedSeconds) * 1000) - idleMarginMilliseconds;
+		const milliseconds = Math.min(maxIdleMilliseconds, announcedMilliseconds);
 		if (milliseconds <= 0 || socket.readableLength > 0 || !super.keepSocketAlive(socket)) {
 			return false;
 		}
--- a/src/gateway/connection-pools.ts
+++ b/src/gateway/connection-pools.ts
@@ -27,7 +27,7 @@
 	retain(ids: ReadonlySet<string>): void {
 		for (const id of this.#pools.keys()) {
 			if (!ids.has(id)) {
-				// Idle sockets close by themselves; one that still carries a response closes when it ends.
+				// Idle connections close after their timeout; one that still carries a response closes after that response ends.
 				this.#pools.delete(id);
 			}
 		}
--- a/src/gateway/decision-log.ts
+++ b/src/gateway/decision-log.ts
@@ -24,7 +24,7 @@
 	readonly status: number;
 };
 
-/** Limit of log lines a second, on average and in a burst: at 300 bytes each, at most 120 kB a second are written. */
+/** Limit of log lines in each second, also in a burst: at 300 bytes a line, at most 120 kB a second are written. */
 const maxLinesPerSecond = 400;
 const summaryMilliseconds = 1000;
 
--- a/src/gateway/decision.ts
+++ b/src/gateway/decision.ts
@@ -4,9 +4,9 @@
 /** A request for placement at an endpoint. */
 export type PlacementRequest = QueuedRequest & {
 	readonly demand: Demand;
-	/** When it was first deferred: a free endpoint was passed over for a better one. */
+	/** When the request was first deferred, that is, not placed at a free endpoint in order to wait for a better one. */
 	deferredAt?: number;
-	/** True if by the last search an endpoint is free and the request waits for a better one. */
+	/** True if the last search found a free endpoint but the request waits for a better one. */
 	isDeferred?: boolean;
 	/** Endpoint that it waits for, and the time of the next search. */
 	waitsFor?: {readonly endpoint: string; readonly until: number};
@@ -23,7 +23,7 @@
 		readonly fetch: (Fetch & {readonly address: string}) | undefined;
 		readonly expectedMilliseconds: number; readonly leastPrefillTokens: number; readonly candidates: number;
 	}
-	/** It can't be started in time, or no endpoint runs its service. */
+	/** The request can't be started in time, no endpoint of its service is available, or the queue is full. */
 	| {
 		readonly type: 'refused'; readonly reason: RefusalReason; readonly retryAfterMilliseconds: number; readonly candidates: number;
 		/** Requests of its service ahead of it, and all queued requests. */
@@ -31,7 +31,7 @@
 		readonly foreseen: WaitEstimate | undefined;
 	};
 
-/** Estimates that a refusal is based on, in milliseconds from then. */
+/** Estimates that a refusal is based on, in milliseconds from the time of the refusal. */
 export type WaitEstimate = {
 	/** Wait for a slot at the best endpoint. */
 	readonly endpoint: number;
--- a/src/gateway/dispatcher.ts
+++ b/src/gateway/dispatcher.ts
@@ -27,7 +27,10 @@
 
 /** Interval between scans of the queue while requests wait in it. */
 const scanIntervalMilliseconds = 8;
-/** Expected interval between two searches for one queued request: a scan may come just before the request is due. */
+/**
+ * Expected interval between two searches for one queued request. A scan may come just before the search is due; the search is
+ * then done in the next one.
+ */
 const searchIntervalMilliseconds = 2 * scanIntervalMilliseconds;
 /** After a scan the queue rests for this many times the scan's duration, so scans take at most a tenth of the process's time. */
 const scanRestFactor = 9;
@@ -44,7 +47,7 @@
 	readonly loadTracker = LoadTracker.create();
 	readonly endpoints: EndpointPool;
 	readonly retries: RetryShare;
-	/** How much of the fleet this instance receives load from. */
+	/** Number of live instances, and of those that report their load to this one. */
 	view: FleetView = singleInstanceView;
 	readonly #options: DispatcherOptions;
 	readonly #queue: PlacementQueue;
@@ -87,9 +90,9 @@
 	}
 
 	/**
-	 * Decides at once where possible; otherwise the request is queued and its decision comes later. A request whose group
-	 * found all endpoints full in the last scan is queued without a search of its own: the search would find nothing, or take
-	 * a slot that queued requests wait for.
+	 * Decides at once where possible; otherwise queues the request, and the decision comes later. If the last scan found all
+	 * endpoints full for the request's group, the request is queued without a search of its own: the search would find nothing, or
+	 * would take a slot that queued requests wait for.
 	 */
 	submit(request: PlacementRequest): void {
 		const wait = request.demand.isLatencyCritical || request.excluded.size > 0 ? undefined : this.#lastScan.waitMilliseconds(groupKeyOf(request));
@@ -161,7 +164,10 @@
 		return true;
 	}
 
-	/** A request with excluded endpoints has fewer candidates, so its full result says nothing about the others of its group. */
+	/**
+	 * Records why a search found no endpoint. Full endpoints are not recorded for a request with excluded ones: it has fewer
+	 * candidates than the others of its group.
+	 */
 	#recordWait(request: PlacementRequest, {isDeferral, milliseconds}: Wait, {results, endpoints}: {results: ScanResults | undefined; endpoints: number}): void {
 		if (isDeferral) {
 			results?.recordMiss(groupKeyOf(request), {endpoints, milliseconds});
@@ -174,7 +180,10 @@
 		return this.#options.tuning.heedsLines && !demand.isLatencyCritical && this.loadTracker.peerQueues.hasMoreUrgent(service, urgency, now);
 	}
 
-	/** Where other instances are likely to want the same slot, sends only with a probability, so that not all of them take it. */
+	/**
+	 * Whether to send a request to a free slot now. If other instances are likely to want the same slot, the result is random,
+	 * so that not all of them take it.
+	 */
 	#maySend(request: PlacementRequest, prefillTokens: number, candidates: number): boolean {
 		const {service, urgency, demand} = request;
 		const {links, instances} = this.view;
@@ -288,10 +297,10 @@
 	}
 
 	/**
-	 * Reports the queued requests to other instances. Latency-critical streams are placed first by themselves, and deferred
-	 * requests hold nothing up, so both are left out. Only the last search counts for that: a request that deferred once and
-	 * has found no free engine since must be reported, or less urgent requests of other instances take the slots that become
-	 * free.
+	 * Reports the queued requests to other instances. Latency-critical streams are omitted, because they are placed first without it,
+	 * and so are deferred requests, because they delay no other request. Whether a request is deferred depends on its last search only:
+	 * if it was deferred once and has found no free engine since, it must be reported, or less urgent requests of other instances
+	 * would take the slots that become free.
 	 */
 	#reportQueue(now: number): void {
 		if (!this.#queueReporter.isDue(this.#queue.size > 0, now)) {
--- a/src/gateway/endpoint-pool.ts
+++ b/src/gateway/endpoint-pool.ts
@@ -15,7 +15,7 @@
 
 export type EndpointPoolOptions = {readonly routingState: RoutingState; readonly logger: PartLogger; readonly loadTracker: LoadTracker};
 
-/** Endpoints of each service with their health, as this instance's own responses show it. */
+/** Endpoints of each service with their health, which is derived from the responses that this instance received or missed. */
 export class EndpointPool {
 	static create(options: EndpointPoolOptions): EndpointPool {
 		return new EndpointPool(options);
@@ -40,9 +40,9 @@
 	}
 
 	/**
-	 * Ready and healthy endpoints; suspended ones only if nothing else is left. Endpoints that are draining or removed are a
-	 * last resort only where the service has no ready endpoint at all, not even one that this request has already tried: an
-	 * instance receives the announcement of a draining endpoint late.
+	 * Ready and healthy endpoints; if there are none, those due for a trial, then suspended ones. Endpoints that are draining or
+	 * removed are used only if the service has no ready endpoint at all, not even one that this request has already been sent to.
+	 * They are included because an instance receives the announcement that an endpoint is draining late.
 	 */
 	available(request: PlacementRequest, now: number): AvailableEndpoints {
 		const lists = {open: [] as PlacementEndpoint[], trial: [] as PlacementEndpoint[], suspended: [] as PlacementEndpoint[], ending: [] as PlacementEndpoint[]};
@@ -72,7 +72,7 @@
 		return cached;
 	}
 
-	/** Updates an endpoint's health by a response or by the lack of one. */
+	/** Updates an endpoint's health after a response, or after none was received. */
 	report(record: EndpointRecord, outcome: 'answered' | 'failed' | 'unreachable'): void {
 		const usualFailureShare = this.#failureShares.get(record.service) ?? 0;
 		if (outcome !== 'unreachable') {
--- a/src/gateway/event-loop-monitor.ts
+++ b/src/gateway/event-loop-monitor.ts
@@ -3,13 +3,16 @@
 import {type QueueActivity} from './queue-meter.js';
 
 const summaryMilliseconds = 1000;
-/** From this utilization on the process is short of processor time: an arriving request waits for several others. */
+/**
+ * At this utilization and above, the process is short of processor time: an arriving request waits until several others are
+ * handled.
+ */
 const busyThreshold = 0.7;
 
 /**
  * Measures the utilization of the event loop and the duration of its turns, and logs one line a second while the process is
- * short of time. An instance without processor time is late in everything: requests wait before any decision is logged, and
- * neither the queue nor the endpoints explain it.
+ * short of processor time. Everything that such an instance does is late: requests wait before any decision about them is logged,
+ * and neither the queue nor the endpoints show the cause.
  */
 export class EventLoopMonitor implements Disposable {
 	/** `queueActivity` returns the queue statistics since its previous call. */
@@ -53,7 +56,9 @@
 		const isBusy = this.utilization >= busyThreshold;
 		const queueActivity = this.#queueActivity();
 		if (isBusy || this.#wasBusy) {
-			this.#logger.info(isBusy ? 'Busy.' : 'No longer busy.', {share: rounded(this.utilization), longestTurn: rounded(this.#longestTurn), requests: this.#requests, ...queueActivity});
+			this.#logger.info(isBusy ? 'The event loop is busy.' : 'The event loop is no longer busy.', {
+				share: rounded(this.utilization), longestTurn: rounded(this.#longestTurn), requests: this.#requests, ...queueActivity,
+			});
 		}
 
 		this.#wasBusy = isBusy;
--- a/src/gateway/event-splitter.ts
+++ b/src/gateway/event-splitter.ts
@@ -8,8 +8,8 @@
 
 /**
  * Splits a stream into complete events, each with its closing blank line. Only complete events are forwarded, so that a stream
- * can continue at another endpoint between two events; if an endpoint stopped in the middle of one, the caller would read half
- * an event joined to a complete one.
+ * can continue at another endpoint between two events. Otherwise, if an endpoint stopped in the middle of an event, the caller would
+ * receive half an event joined to a complete one.
  */
 export class EventSplitter {
 	static create(): EventSplitter {
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -10,7 +10,7 @@
 import {sendErrorResponse} from './error-response.js';
 import {demandOf, placementRequestOf} from './placement-request.js';
 
-/** Capacity of the inbox: at most one event of each kind is pending at a time. */
+/** Capacity of the inbox; more than the number of event types, of which at most one each is pending at a time. */
 const inboxCapacity = 16;
 /** With less time than this left, an attempt is not started. */
 const minRunMilliseconds = 15;
@@ -31,6 +31,7 @@
 	readonly #excluded = new Set<string>();
 	#verdict: Verdict = Verdict.notRun;
 	#attempts = 0;
+	/** Number of attempts that may have run the request. */
 	#possibleRuns = 0;
 	#attemptNumber = 0;
 	readonly #forwarder: ResponseForwarder;
@@ -82,13 +83,13 @@
 	* #awaitPlacement(): Body<Extract<Decision, {type: 'placed'}> | undefined> {
 		const {facts, dispatcher, caller, log, route, arrivedAt, codec} = this.#options;
 		const now = performance.now();
-		const patienceAt = caller.hasResponse ? Infinity : arrivedAt + codec.patienceMilliseconds(route);
+		const expectedDisconnectAt = caller.hasResponse ? Infinity : arrivedAt + codec.patienceMilliseconds(route);
 		const placementId = `${facts.id}#${this.#attempts}`;
 		this.#alarm.set(this.#deadlineAt - now);
 		dispatcher.submit({
 			...placementRequestOf(this.#options, this.#demand),
 			id: placementId,
-			lastStartAt: Math.min(this.#deadlineAt - minRunMilliseconds, patienceAt),
+			lastStartAt: Math.min(this.#deadlineAt - minRunMilliseconds, expectedDisconnectAt),
 			excluded: this.#excluded,
 			isIdempotent: this.#isIdempotent,
 			onDecision: decision => {
@@ -175,7 +176,7 @@
 	* #awaitOutcome(state: AttemptState, alarm: Alarm): Body<Outcome> {
 		const sentAt = performance.now();
 		for (;;) {
-			// If the next timeout moves later, this shows when the timer fires.
+			// Forwarded bytes can postpone a timeout without an event here; `#checkTimeouts` compares the times again when the timer fires.
 			alarm.set(this.#nextAlarm(state, sentAt));
 			const event = (yield * receive(this.#inbox))!;
 			switch (event.type) {
@@ -216,7 +217,10 @@
 		return Math.max(0, Math.min(this.#deadlineAt, this.#failoverAt(state, sentAt), state.suspectAt ?? Infinity) - now);
 	}
 
-	/** When the request is retried elsewhere because this endpoint is silent; never if it may run only once. */
+	/**
+	 * When the request is retried at another endpoint because this one is silent; infinite if it may not run again or the
+	 * caller reads too slowly.
+	 */
 	#failoverAt(state: AttemptState, sentAt: number): number {
 		const {route} = this.#options;
 		if (!this.#isIdempotent || this.#possibleRuns + 1 >= route.largestAttempts || this.#forwarder.isPaused) {
@@ -242,7 +246,7 @@
 			return {type: 'failed', verdict: Verdict.mayHaveRun, reason: 'silent'};
 		}
 
-		// No other endpoint is available: check again after another pause.
+		// The timer fired early, or no other endpoint is available: check again after another pause.
 		state.lastEventAt = state.lastEventAt === undefined ? undefined : now;
 		return undefined;
 	}
--- a/src/gateway/feed-follower.ts
+++ b/src/gateway/feed-follower.ts
@@ -20,7 +20,7 @@
 	readonly applyMilliseconds: number;
 	/** How long a read may wait at the store for the first change; 0 returns what is there. */
 	readonly waitMilliseconds: (longPoll: LongPoll) => number;
-	/** From the end of one read to the start of the next, by the number of reads so far. */
+	/** Time from the end of one read to the start of the next; depends on the number of reads so far. */
 	readonly pauseMilliseconds: (position: PollPosition) => number;
 	/** Called with changes in their order. */
 	readonly onChanges: (items: readonly Item[]) => void;
@@ -32,7 +32,7 @@
 	readonly onEra: (change: EraChange) => void;
 };
 
-/** A longer pause is computed again this often, since the number of instances may change meanwhile. */
+/** During a longer pause its length is computed again at this interval, since the number of instances may change meanwhile. */
 const pauseCheckMilliseconds = 1400;
 
 /** All instances notice a new era within moments and read a snapshot; their reads are spread over this time. */
@@ -88,8 +88,8 @@
 	}
 
 	/**
-	 * Aborts a long poll and reads what is there. Without this, a long poll on a connection that went silent, or from a store
-	 * that did, would bring nothing until its wait is over, long after the store has recovered.
+	 * Aborts a long poll and reads what is there. Without this, a long poll on a connection that delivers nothing any more, or at a
+	 * store that stopped responding, would return nothing until its wait is over, long after the store has recovered.
 	 */
 	abortLongPoll(): void {
 		if (this.#longPoll !== undefined) {
@@ -216,7 +216,7 @@
 		this.#options.onEra(change);
 	}
 
-	/** Records a response. It also answers requests to read again that came before it. */
+	/** Records a response of the store and clears a pending `pollNow`, which this read has already satisfied. */
 	#recordRead(): void {
 		this.#lastReadAt = performance.now();
 		tryReceive(this.#wake);
@@ -224,7 +224,7 @@
 
 	#recordSuccess(): void {
 		if (this.#failures > 0) {
-			this.#options.logger.info('Store regained.', {feed: this.#options.feed.name, failures: this.#failures});
+			this.#options.logger.info('Reading from the store works again.', {feed: this.#options.feed.name, failures: this.#failures});
 		}
 
 		this.#failures = 0;
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -33,9 +33,9 @@
 const bufferFullRetryMilliseconds = 300;
 /**
  * How long the port stays open during a graceful shutdown; then idle connections are closed. The load balancer sends new
- * connections until it has missed two health checks, two seconds and the time of a response. A long stream that is accepted
- * three seconds after the start of the shutdown would not have time to end and would be truncated, so later requests must go
- * to another instance.
+ * connections until two health checks have failed, which takes two seconds and the time of a response. A long stream that is
+ * accepted three seconds after the start of the shutdown would not have time to end and would be truncated, so requests that arrive
+ * after the port has closed must go to another instance.
  */
 export const drainListenMilliseconds = 2700;
 /** A request must arrive completely within this time, whatever length its headers announce. */
@@ -55,7 +55,8 @@
 
 	readonly #options: GatewayOptions;
 	readonly #server: Server;
-	readonly #idleListeners = new Set<() => void>();
+	/** Called when the last open response ends during a graceful shutdown. */
+	readonly #drainedListeners = new Set<() => void>();
 	/** Responses that are not complete yet. */
 	readonly #openResponses = new Set<ServerResponse>();
 	readonly #startedAt = performance.now();
@@ -95,7 +96,7 @@
 		return !this.#isStopping && this.#options.routingState.table !== undefined && this.#options.routingState.directory.entries.size > 0;
 	}
 
-	/** Serves open and arriving requests, and resolves once none is left. */
+	/** Shuts down gracefully: serves open requests, and new ones while the port stays open, and resolves once none is left. */
 	async drain(): Promise<void> {
 		this.#isStopping = true;
 		for (const response of this.#openResponses) {
@@ -109,7 +110,7 @@
 		this.#server.closeIdleConnections();
 		if (this.#openResponses.size > 0) {
 			await new Promise<void>(resolve => {
-				this.#idleListeners.add(resolve);
+				this.#drainedListeners.add(resolve);
 			});
 		}
 	}
@@ -123,7 +124,7 @@
 		const arrivedAt = performance.now();
 		const {socket} = request;
 		if (socket.writableEnded) {
-			// The request crossed the close of its connection. No response is possible, so it is not forwarded.
+			// The request arrived while the gateway closed its connection. No response is possible, so it is not forwarded.
 			return;
 		}
 
@@ -136,7 +137,7 @@
 		response.once('close', () => {
 			this.#openResponses.delete(response);
 			if (this.#openResponses.size === 0 && this.#isStopping) {
-				for (const resolve of this.#idleListeners) {
+				for (const resolve of this.#drainedListeners) {
 					resolve();
 				}
 			}
@@ -235,9 +236,10 @@
 }
 
 /**
- * Waits for the next turn of the event loop. If the process was short of processor time, a request is read late, when its
- * caller may have disconnected long ago, and endpoints would work for nothing. The close arrived before, so it is read in the
- * next turn at the latest; a turn takes less than a tenth of a millisecond if the process has time.
+ * Waits for the next turn of the event loop, so that a disconnect of the caller that has already arrived is read before its request
+ * is placed. If the process is short of processor time, a request is read late; its caller may have disconnected long ago, and an
+ * endpoint would run the request in vain. The disconnect is read in the next turn at the latest. A turn takes less than a tenth of
+ * a millisecond if the process has enough processor time.
  */
 async function nextTurn(): Promise<void> {
 	// The first callback still runs in this turn, and no socket is read before it.
--- a/src/gateway/peer-messages.ts
+++ b/src/gateway/peer-messages.ts
@@ -5,8 +5,8 @@
 import {type CachedPromptParts} from './prompt-cache-reader.js';
 
 /**
- * Endpoints that ended within this time are announced even to a peer that has read the endpoints lately; no such read is
- * longer ago.
+ * Endpoints that ended within this time are announced even to a peer that has read the endpoints lately. Such a read is never older
+ * than this time.
  */
 const recentRemovalMilliseconds = 20_000;
 
@@ -23,7 +23,7 @@
 
 		case 'reborn':
 		case 'era': {
-			// Each instance derives it from the endpoints' records.
+			// Not announced: each instance derives these changes from the endpoints' records.
 			return undefined;
 		}
 	}
@@ -48,7 +48,7 @@
 	];
 }
 
-/** The sender of a message, and what the message changes here. */
+/** The sender of a message, and the state and callbacks that the message is applied to. */
 export type MessageContext = {
 	readonly routingState: RoutingState;
 	readonly connection: Connection;
--- a/src/gateway/peer-roster.ts
+++ b/src/gateway/peer-roster.ts
@@ -21,8 +21,8 @@
 	readonly #peers = new Map<string, PeerRecord>();
 	/**
 	 * Instances that were announced before this one started; this one dials them itself. Otherwise an instance that restarts
-	 * within seconds would have no peers for as long as it was away, because the instances that should dial it have backed
-	 * off.
+	 * within seconds would have no peers for as long again as it was down, because the instances that should dial it still wait for
+	 * the end of their backoff.
 	 */
 	readonly #startedEarlier = new Set<string>();
 	readonly #dials = new Map<string, DialState>();
@@ -42,7 +42,7 @@
 		return [...this.#peers.values()].filter(({address}) => !this.#isUnreachable(address)).length;
 	}
 
-	/** True if each instance is linked with all others. */
+	/** True if the neighbours of this instance are all reachable instances, so that the links form a full mesh. */
 	get isFullMesh(): boolean {
 		return this.neighbours.linked.size === this.reachableCount;
 	}
--- a/src/gateway/peers-options.ts
+++ b/src/gateway/peers-options.ts
@@ -20,12 +20,12 @@
 	readonly routingState: RoutingState;
 	readonly logger: PartLogger;
 	readonly onLoad: (event: LoadEvent) => void;
-	/** A peer has read which prompt parts an endpoint has cached. */
+	/** Called when a peer has read which prompt parts an endpoint has cached. */
 	readonly onPromptCache: (cached: CachedPromptParts) => void;
 	/** Whether this instance has read the endpoints from the store lately. */
 	readonly knowsEndpoints: () => boolean;
-	/** A peer has had a newer routing table for long: this instance's own read may hang. */
+	/** Called when a peer has had a newer routing table for longer than a read of the store takes: this instance's own read may hang. */
 	readonly onStaleTable: () => void;
-	/** The share of the fleet that this instance receives load from has changed. */
+	/** Called when the number of live instances, or of those that report their load to this one, may have changed. */
 	readonly onView: (view: FleetView) => void;
 };
--- a/src/gateway/peers.ts
+++ b/src/gateway/peers.ts
@@ -16,15 +16,18 @@
  * placements of an instance that lost power, which no packet reports, would make endpoints look full.
  */
 const heartbeatTimes = {heartbeatMilliseconds: 900, silenceMilliseconds: 2800};
-/** A link that was made while few instances were known is kept for this long, until the others are known. */
+/**
+ * A dialled link is kept for at least this long, even if the other instance is no neighbour: few instances may have been known
+ * at the dial, and the others become known within this time.
+ */
 const minLinkMilliseconds = 10_000;
 
 type Link = {readonly connection: Connection; readonly instance: string; readonly incarnation: string; readonly isDialled: boolean; readonly since: number; routingVersion: number};
 
 /**
  * Links to the other gateways. If the store refuses this instance or is down while the operator publishes, peers provide the
- * routing table; without them the instance would keep an old one, or start with none. Peers also report their load, without
- * which a burst through several instances would meet at the same idle endpoint.
+ * routing table; without them the instance would keep an old table, or start with none. Peers also report their load; otherwise,
+ * if a burst arrives at several instances, all of them would place its requests at the same idle endpoint.
  */
 export class Peers implements AsyncDisposable {
 	static async create(options: PeersOptions): Promise<Peers> {
--- a/src/gateway/placement-queue.ts
+++ b/src/gateway/placement-queue.ts
@@ -13,11 +13,11 @@
 	readonly onWaiting: () => void;
 };
 
-/** The next search for a queued request comes after this share of its estimated wait, within these bounds. */
-const searchAgain = {share: 0.5, leastMilliseconds: 8, mostMilliseconds: 60};
+/** A queued request is searched for again after this share of its estimated wait, but not earlier or later than these bounds. */
+const searchDelay = {share: 0.5, leastMilliseconds: 8, mostMilliseconds: 60};
 /** Limit of the queue: with the largest usual prompts as bodies it takes a tenth of a small instance's memory. */
 const maxQueuedRequests = 1500;
-/** Retry delay where nothing predicts when a slot becomes free: the time in which a registration reaches all instances. */
+/** Retry delay where the time of the next free slot is unknown. A new registration reaches all instances within this time. */
 export const unknownRetryMilliseconds = 700;
 
 type RefusalDetails = {readonly milliseconds: number; readonly candidates: number; readonly foreseen?: WaitEstimate};
@@ -49,7 +49,7 @@
 		return this.#requests.has(id);
 	}
 
-	/** Queued requests in the order in which they are searched for. */
+	/** Queued requests in the order in which a scan tries to place them. */
 	ordered(now: number): PlacementRequest[] {
 		return this.#queue.ordered(now).flatMap(({id}) => this.#requests.get(id) ?? []);
 	}
@@ -82,7 +82,7 @@
 		const now = performance.now();
 		const isRefused = this.#admit(request, {now, candidates, foreseen: this.#estimateWait(request, {endpointMilliseconds: milliseconds, candidates, now})});
 		if (!isRefused) {
-			request.waitsFor = {endpoint, until: now + Math.min(searchAgain.mostMilliseconds, Math.max(searchAgain.leastMilliseconds, milliseconds * searchAgain.share))};
+			request.waitsFor = {endpoint, until: now + Math.min(searchDelay.mostMilliseconds, Math.max(searchDelay.leastMilliseconds, milliseconds * searchDelay.share))};
 		}
 
 		return isRefused;
@@ -127,8 +127,9 @@
 	}
 
 	/**
-	 * Refuses the last queued one of the least urgent requests to make room for a more urgent request, which a queue full of
-	 * less urgent ones would otherwise refuse although it would be next. Among equally urgent requests the earlier ones stay.
+	 * If the queue contains less urgent requests, refuses the one of the least urgent that was queued last, and returns true. Without
+	 * this, a full queue would refuse a request that is more urgent than all queued ones and would be placed next. Among equally
+	 * urgent requests the earlier ones stay.
 	 */
 	#evictLessUrgent({urgency}: PlacementRequest, now: number): boolean {
 		const last = this.#queue.last();
--- a/src/gateway/placement-request.ts
+++ b/src/gateway/placement-request.ts
@@ -3,7 +3,7 @@
 import {type PlacementRequest} from './decision.js';
 import {type RequestMetadata} from './types.js';
 
-/** What determines the priority of a request. */
+/** A request with its route, service and workspace, which determine its demand and its queue order. */
 export type RequestContext = {
 	readonly facts: RequestMetadata;
 	readonly table: RoutingTable;
@@ -14,7 +14,7 @@
 	readonly arrivedAt: number;
 };
 
-/** A request that starts after this share of its target is late: the rest is needed for the endpoint's own work. */
+/** Share of a request's target time within which it must start to be on time: the rest is needed for the endpoint's own work. */
 const startShare = 0.75;
 /**
  * A latency-critical stream has a short prompt. It goes before all others in the queue regardless of its rank, since its
--- a/src/gateway/prompt-cache-reader.ts
+++ b/src/gateway/prompt-cache-reader.ts
@@ -17,7 +17,10 @@
 	readonly logger: PartLogger;
 };
 
-/** An endpoint that becomes known later than this after the start of the process started after it, and has nothing cached. */
+/**
+ * Endpoints that become known within this time after the start of the process are read. One that becomes known later has
+ * started after the process and has nothing cached.
+ */
 const startupMilliseconds = 4000;
 /**
  * Delay before the turns are determined: by then, instances that started together have announced themselves, which takes one
@@ -29,14 +32,17 @@
  * zones take a third of it.
  */
 const turnMilliseconds = 150;
-/** Number of instances that get a turn. If all of them fail, the engine responds to none. */
+/**
+ * Number of instances that try to read from one engine in turn. If all of them fail, the engine is assumed to respond to no
+ * instance.
+ */
 const maxTurns = 3;
 
 /**
- * Reads from each engine which prompt parts it has cached, after this process started. If all instances lose power or one
- * restarts, this knowledge is lost, and prompts are sent to engines that have to prefill them again, just when callers
- * reconnect. Each engine is asked once by one of the instances, which notifies the others; the next instance asks if that
- * fails.
+ * After a start of this process, reads from each engine which prompt parts it has cached. If all instances lose power or one
+ * restarts, this information is lost there; without the read, prompts would be sent to engines that have to prefill them again, just
+ * when callers reconnect. Each engine is asked once, by one of the instances, which notifies the others; if that fails, the next
+ * instance asks.
  */
 export class PromptCacheReader implements Disposable {
 	static create(options: PromptCacheReaderOptions): PromptCacheReader {
--- a/src/gateway/queue-meter.ts
+++ b/src/gateway/queue-meter.ts
@@ -23,14 +23,15 @@
 	}
 
 	#counts = {...zeroCounts};
-	#lastTryAt: number | undefined;
+	/** End of the previous scan; undefined before the first one and once `take` has found the queue empty. */
+	#lastScanEndedAt: number | undefined;
 
 	/** Records a scan of the queue by its start and end. */
 	recordScan(from: number, to: number): void {
 		this.#counts.tries += 1;
 		this.#counts.triesMilliseconds += to - from;
-		this.#counts.longestRest = Math.max(this.#counts.longestRest, from - (this.#lastTryAt ?? from));
-		this.#lastTryAt = to;
+		this.#counts.longestRest = Math.max(this.#counts.longestRest, from - (this.#lastScanEndedAt ?? from));
+		this.#lastScanEndedAt = to;
 	}
 
 	recordSearch(): void {
@@ -46,7 +47,7 @@
 	take(waiting: number): QueueActivity {
 		const activity = {waiting, ...this.#counts, triesMilliseconds: Math.round(this.#counts.triesMilliseconds), longestRest: Math.round(this.#counts.longestRest)};
 		this.#counts = {...zeroCounts};
-		this.#lastTryAt = waiting === 0 ? undefined : this.#lastTryAt;
+		this.#lastScanEndedAt = waiting === 0 ? undefined : this.#lastScanEndedAt;
 		return activity;
 	}
 }
--- a/src/gateway/response-forwarder.ts
+++ b/src/gateway/response-forwarder.ts
@@ -17,8 +17,9 @@
 const maxBufferedBytes = 512 * 1024;
 
 /**
- * Forwards the responses of endpoints to the caller: complete events as they arrive, other responses once they are complete or
- * large. The caller gets the output of several attempts as one response without gaps or repeats.
+ * Forwards the responses of endpoints to the caller: each event of a stream once it is complete, other responses once they are
+ * complete or exceed the size limit of the buffer. The caller receives the output of several attempts as one response without gaps
+ * or repeated events.
  */
 export class ResponseForwarder {
 	static create(options: ResponseForwarderOptions): ResponseForwarder {
@@ -111,8 +112,8 @@
 	}
 
 	#write(state: AttemptState, bytes: Uint8Array): void {
-		const hasRoom = this.#options.caller.write(bytes, this.#options.onDrained);
-		if (!hasRoom && !this.isPaused) {
+		const canWriteMore = this.#options.caller.write(bytes, this.#options.onDrained);
+		if (!canWriteMore && !this.isPaused) {
 			this.isPaused = true;
 			state.attempt.pause();
 		}
--- a/src/gateway/routing-state.ts
+++ b/src/gateway/routing-state.ts
@@ -23,8 +23,8 @@
 
 /**
  * The newest routing table and endpoints that this process has received from any source. Table versions, eras, positions in
- * the store's log and revisions never decrease here: a slow reader or a peer may bring an older version after a newer one was
- * in force, and a key that was revoked would work again.
+ * the store's log and revisions never decrease here. Otherwise an older version from a slow read or a peer could replace a newer one
+ * that is already in force, and a key that was revoked would work again.
  */
 export class RoutingState {
 	static create(logger: PartLogger): RoutingState {
--- a/src/gateway/routing-table-puller.ts
+++ b/src/gateway/routing-table-puller.ts
@@ -9,15 +9,16 @@
 	/** The peers with the versions that they reported. */
 	readonly holders: () => readonly TableHolder[];
 	readonly logger: PartLogger;
-	/** A peer has had a newer version for long that this instance has not read from the store. */
+	/** Called when a peer has a newer version that this instance has not read from the store within the delay. */
 	readonly onStaleTable: () => void;
 };
 
 /**
- * Peers report only the version of a new routing table. An instance that lacks it for longer than a read of the store takes
- * requests it from one of the peers that have it, and at once if it has no table at all. If each instance sent each new table
- * to all others, ten changes in four seconds would be 25 x 15 kB each, in both directions, which fills the link of a small
- * instance: connections to endpoints would take over 350 ms, and all endpoints would look unreachable.
+ * Delays before a table is requested. Peers report only the version of a new routing table. An instance that still lacks the table
+ * after the time of a read of the store requests it from one of the peers that have it; an instance without any table does so almost
+ * at once. If each instance sent each new table to all others, ten changes in four seconds would each be 25 x 15 kB in both
+ * directions, which fills the network link of a small instance: connections to endpoints would take over 350 ms, and all endpoints
+ * would look unreachable.
  */
 const pullDelayMilliseconds = {withoutTable: 100, behind: 400, spread: 200};
 
@@ -39,8 +40,8 @@
 	}
 
 	/**
-	 * A peer reported its version: requests the table after a delay if that version is still newer, and again until it is in
-	 * force here.
+	 * Called when a peer has reported its version. If a peer has a newer table, requests it after a delay, and again until that version
+	 * is in force here.
 	 */
 	handlePeerVersion(): void {
 		if (this.#timer !== undefined || this.#newer().length === 0) {
--- a/src/gateway/store-feeds.ts
+++ b/src/gateway/store-feeds.ts
@@ -16,7 +16,7 @@
 	readonly instances: Feed<InstanceAnnouncement>;
 };
 
-/** Receives announcements of instances, and knows how many instances notify each other of what they read. */
+/** Receives announcements of instances, and counts the instances that notify each other of what they read from the store. */
 export type PeerRegistry = {
 	readonly view: FleetView;
 	addPeers(records: readonly PeerRecord[], isSnapshot: boolean): void;
@@ -74,8 +74,8 @@
 		onChanges(announcements) {
 			applyAnnouncements(peers, announcements);
 		},
-		// An instance that the snapshot lacks is not removed: the store may have been restored from a backup, and an instance that
-		// is gone does not respond to dials.
+		// An instance that the snapshot lacks is not removed: the store may have been restored from a backup. If the instance is
+		// really gone, it does not respond to dials and counts as unreachable after several of them.
 		onSnapshot(announcements) {
 			peers.addPeers(announcements.flatMap(({record}) => record ?? []), true);
 			return 0;
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -6,7 +6,7 @@
 /** Header names and values in turn, as Node's `rawHeaders`. */
 export type RawHeaders = readonly string[];
 
-/** What the headers of a request say. */
+/** Information from the headers of a request. */
 export type RequestMetadata = {
 	/** Id that the caller gave to this request; a caller's retry has another one. */
 	readonly id: string;
@@ -32,24 +32,24 @@
 	/** Address of an engine that has cached more of the prompt, from which the endpoint fetches that part. */
 	readonly fetchFrom: string | undefined;
 	/**
-	 * The urgency of the route becomes the request's priority at an engine, which preempts the least urgent first. It must not
-	 * be a rank among the pairs of workspace and route of one routing table: requests of most workspaces would then be
-	 * preempted for less urgent ones of the workspace that goes first, and after a change of workspaces for less urgent ones
-	 * that began before it. A route's urgency means the same for all workspaces and in every table.
+	 * The route's urgency is sent to the engine as the request's priority; an engine preempts the least urgent requests first. The
+	 * urgency means the same for all workspaces and in every routing table. A rank (see `UrgencyRanks`) must not be sent instead:
+	 * requests of most workspaces would be preempted for less urgent ones of the workspace with the highest precedence, and after a
+	 * change of the workspaces for less urgent ones that began before the change.
 	 */
 	readonly route: Route;
 };
 
-/** What the headers of a response say. */
+/** Information from the status and headers of a response. */
 export type ResponseMetadata = {
 	readonly requestId: string | undefined;
 	/** The endpoint states that it did not run the request. */
 	readonly isNotRun: boolean;
-	/** Another endpoint has the address now. */
+	/** True if another endpoint has taken over the address and the response is from that one. */
 	readonly isMisdirected: boolean;
 	/** False for a success response that can't be the endpoint's own complete response. */
 	readonly isGenuine: boolean;
-	/** True if the status promises the caller that its request has not run and the endpoint does not state so itself. */
+	/** True if the status tells the caller that its request has not run, but the endpoint does not state this (see `isNotRun`). */
 	readonly promisesNotRun: boolean;
 	readonly retryAfterMilliseconds: number | undefined;
 };
