--- a/src/policy/retries/index.ts
+++ b/src/policy/retries/index.ts
@@ -16,7 +16,7 @@
 /** Maximum size of the budget: enough for the retries after the loss of one endpoint with 32 slots at an entry that had used half of them. */
 export const maxBudgetTokens = 20;
 /** Maximum number of attempts of one request, including the first. */
-export const maxAttempts = 4;
+export const attemptLimit = 4;
 
 /** A token bucket for retries. Times are milliseconds. */
 export type RetryBudget = {readonly tokens: number; readonly at: number};
@@ -82,7 +82,7 @@
 
 	// A preempted stream is no failure: the number of preemptions is limited by the queue, not by this budget.
 	const free = attempt.failure.kind === FailureKind.preempted;
-	if (!free && attempt.attempts >= maxAttempts) {
+	if (!free && attempt.attempts >= attemptLimit) {
 		return {type: 'give-up', reason: 'attempts'};
 	}
 
