--- a/src/endpoint/engine-client.ts
+++ b/src/endpoint/engine-client.ts
@@ -10,7 +10,7 @@
 export type EngineClientSettings = {
 	/** For example `http://127.0.0.1:9000`. */
 	readonly baseUrl: string;
-	/** How long a response may bring no data before the call fails. */
+	/** The call fails if its response delivers no data for this long. */
 	readonly idleTimeoutMilliseconds?: number;
 };
 
@@ -32,8 +32,8 @@
 };
 
 /**
- * More than a thousand engine steps of a few milliseconds: an engine that is merely slow or loaded sends
- * data within this time, and a frozen engine or a half-open connection occupies a slot no longer than this.
+ * This time is more than a thousand engine steps of a few milliseconds. An engine that is only slow or loaded
+ * sends data within it, and a frozen engine or a half-open connection occupies a slot no longer than this.
  */
 const defaultIdleTimeoutMilliseconds = 10_000;
 
--- a/src/endpoint/service-client.ts
+++ b/src/endpoint/service-client.ts
@@ -28,7 +28,7 @@
 	= | {readonly type: 'answered'; readonly status: number; readonly headers: Record<string, string>; readonly body: AsyncGenerator<Uint8Array>}
 		| {readonly type: 'failed'; readonly failure: Failure};
 
-/** Service calls may be long jobs; a minute bounds those whose connection is dead without having been closed. */
+/** A service call may be a long job. A minute limits the wait for a call whose connection is dead but was not closed. */
 const defaultHeaderTimeoutMilliseconds = 60_000;
 
 /** Proxies plain HTTP calls to one service, with bodies streamed in both directions. */
@@ -95,9 +95,9 @@
 }
 
 /**
- * Yields the body and throws if it is incomplete. Node distinguishes a truncated body from one that
- * ended; without the error, a caller of a service that dies in the middle of a response would take
- * half a ticket for a complete one.
+ * Yields the body and throws if it is incomplete. Node distinguishes a truncated body from one that ended; without
+ * the error, if a service fails in the middle of a response, its caller would take the partial response for a
+ * complete one.
  */
 async function * readBody(response: IncomingMessage, signal: AbortSignal | undefined): AsyncGenerator<Uint8Array> {
 	try {
--- a/src/endpoint/service-headers.ts
+++ b/src/endpoint/service-headers.ts
@@ -1,6 +1,6 @@
 import {type IncomingHttpHeaders} from 'node:http';
 
-/** Headers about the content of a request. All others, API keys above all, are not forwarded to the service. */
+/** Headers about the content of a request. All others, in particular those with API keys, are not forwarded to the service. */
 const forwardedRequestHeaders: ReadonlySet<string> = new Set([
 	'accept',
 	'accept-encoding',
