--- a/src/side/body-parts.ts
+++ b/src/side/body-parts.ts
@@ -23,9 +23,9 @@
 	}
 
 	/** Ends the body: `whole` if it is complete, `broken` if the caller disconnected before that. */
-	end(how: 'whole' | 'broken'): void {
+	end(finalState: 'whole' | 'broken'): void {
 		if (this.#state === 'open') {
-			this.#state = how;
+			this.#state = finalState;
 			this.#wake?.();
 		}
 	}
--- a/src/side/crash-detector.ts
+++ b/src/side/crash-detector.ts
@@ -13,7 +13,7 @@
 	readonly isHealthy: () => Promise<boolean>;
 	/** Fingerprints of the requests that run at the endpoint. */
 	readonly runningFingerprints: () => readonly string[];
-	/** Called before any entry is notified of the failed runs, so that none is sent to this endpoint again. */
+	/** Called before any entry is notified of the failed runs, so that no entry sends a request to this endpoint again. */
 	readonly onEndpointCrashed: () => void;
 };
 
--- a/src/side/credit-window.ts
+++ b/src/side/credit-window.ts
@@ -2,10 +2,9 @@
 import {type RunInput} from './reservation.js';
 
 /**
- * Credit-based flow control: how many more events the entry is ready to receive. A run that has used up
- * its credit stops reading from the engine, so the backpressure affects that stream only. Without this,
- * the responses of callers that read slowly would pile up at the entry, and its memory would grow with
- * each slow caller.
+ * Credit-based flow control: how many more events the entry is ready to receive. A run that has used up its credit
+ * stops reading from the engine, so the backpressure affects that stream only. Without this, the responses of
+ * callers that read slowly would accumulate at the entry, and its memory would grow with each slow caller.
  */
 export class CreditWindow {
 	static create(events: number, input: Channel<RunInput>): CreditWindow {
@@ -26,7 +25,10 @@
 		this.#input = input;
 	}
 
-	/** Deducts events that were sent. The events of one turn may overdraw the window by up to that turn. */
+	/**
+	 * Deducts events that were sent. The events of one turn of the event loop are sent together, so they may exceed
+	 * the window by up to their number.
+	 */
 	spend(events: number): void {
 		this.#available -= events;
 	}
@@ -38,13 +40,13 @@
 			const waitStartedAt = performance.now();
 			const message = yield * receive(this.#input);
 			this.waitedMilliseconds += performance.now() - waitStartedAt;
-			if (!this.#take(message)) {
+			if (!this.#applyMessage(message)) {
 				return false;
 			}
 		}
 
 		for (let message = tryReceive(this.#input); message !== undefined; message = tryReceive(this.#input)) {
-			if (!this.#take(message)) {
+			if (!this.#applyMessage(message)) {
 				return false;
 			}
 		}
@@ -53,7 +55,7 @@
 	}
 
 	/** Applies one message; false if the run is over: cancelled, or its input closed. */
-	#take(message: RunInput | undefined): boolean {
+	#applyMessage(message: RunInput | undefined): boolean {
 		if (message === undefined || message.type === 'cancel') {
 			return false;
 		}
--- a/src/side/endpoint-watch.ts
+++ b/src/side/endpoint-watch.ts
@@ -1,7 +1,7 @@
 import {type Body, sleep, spawn, wait} from '../concurrency/index.js';
 import {type EngineControl, type EngineLoad} from '../endpoint/index.js';
 
-/** The load report is used only for memory pressure, which changes over seconds. */
+/** How often health and load are polled. The load report is used only for memory pressure, which changes over seconds. */
 const checkIntervalMilliseconds = 500;
 /** Consecutive failed checks after which an endpoint counts as down; a single one may be a short delay. */
 const failuresUntilDown = 2;
--- a/src/side/entry-link.ts
+++ b/src/side/entry-link.ts
@@ -15,8 +15,9 @@
 	}
 
 	readonly reservations = new Map<number, Reservation>();
-	/** The entry's incarnation, known once its `hello` has arrived. */
+	/** The instance id of the entry, which is new after every restart; known once its `hello` has arrived. */
 	instance: string | undefined;
+	/** Number of the connection at this side; makes reservation ids unique across connections. */
 	readonly number: number;
 	readonly connection: Connection;
 
--- a/src/side/model-run.ts
+++ b/src/side/model-run.ts
@@ -74,7 +74,7 @@
 		this.#onTokens = onTokens;
 	}
 
-	/** Forwards the events of one turn as one chunk; returns the result of the run once the stream has ended. */
+	/** Forwards the events of one turn of the event loop as one chunk; returns the result of the run once the stream has ended. */
 	forward(events: readonly EngineEvent[]): RunResult | undefined {
 		const tokens: string[] = [];
 		let end: RunResult | undefined;
--- a/src/side/orders/model-reconciler.ts
+++ b/src/side/orders/model-reconciler.ts
@@ -30,9 +30,9 @@
 };
 
 /**
- * Reconciles the models of one engine with the catalogue: models assigned to this endpoint are fetched
- * from the weight store and then loaded by an order. Only models with `replicas` above 0 are assigned;
- * the others stay where the settings put them. Models are never unloaded.
+ * Reconciles the models of one engine with the catalogue: models assigned to this endpoint are fetched from the
+ * weight store and then loaded by an order. Only models with `replicas` above 0 are assigned; the reconciler
+ * leaves the others at the endpoints where the settings place them. Models are never unloaded.
  */
 export class ModelReconciler implements AsyncDisposable {
 	static create(options: ModelReconcilerOptions): ModelReconciler {
@@ -78,14 +78,14 @@
 				return;
 			}
 
-			const placedModels = this.#options.catalogue().models().filter(({replicas}) => replicas > 0);
-			if (placedModels.length === 0) {
+			const assignableModels = this.#options.catalogue().models().filter(({replicas}) => replicas > 0);
+			if (assignableModels.length === 0) {
 				return;
 			}
 
 			this.#orderSender ??= yield * wait(this.#options.openOrderSender());
 			yield * this.#readMembership();
-			const missing = this.#assignedModels(placedModels).find(model => !isLoaded(loaded, model));
+			const missing = this.#assignedModels(assignableModels).find(model => !isLoaded(loaded, model));
 			if (missing !== undefined) {
 				yield * this.#load(missing, this.#orderSender);
 			}
--- a/src/side/orders/order-sender.ts
+++ b/src/side/orders/order-sender.ts
@@ -152,7 +152,10 @@
 		}
 	}
 
-	/** An endpoint that ignores fencing numbers may have accepted a late order of an earlier owner after this one. */
+	/**
+	 * True if the endpoint reports the order as applied. Checked only for an endpoint that ignores fencing numbers,
+	 * which may have accepted a late order of an earlier owner after this one.
+	 */
 	* #isInEffect(content: OrderContent): Body<boolean> {
 		if (this.#settings.endpointChecksFences || content.order !== 'load-model') {
 			return true;
--- a/src/side/request-executor.ts
+++ b/src/side/request-executor.ts
@@ -27,7 +27,7 @@
 export type RequestExecutorOptions<State> = {
 	readonly backend: Backend;
 	readonly scheduler: Scheduler<State>;
-	/** Metrics and decisions; by default a private instance. */
+	/** Metrics and the decision journal; if omitted, the executor creates its own. */
 	readonly telemetry?: SideTelemetry;
 	readonly instance: InstanceId;
 	readonly endpoint: EndpointId;
@@ -77,7 +77,7 @@
 		}
 	}
 
-	/** True while no request is queued, offered or running: the passing of time then has no effect. */
+	/** True while no request is queued, offered or running; `tick` events then have no effect and can be skipped. */
 	get isEmpty(): boolean {
 		return this.#reservations.size === 0;
 	}
@@ -86,7 +86,10 @@
 		return this.#options.scheduler.view(this.#state);
 	}
 
-	/** Adds a request to the queue; a message that contradicts an earlier one closes the connection. */
+	/**
+	 * Adds a request to the queue. A stream number that is in use, or a request id that differs from the summary's,
+	 * closes the connection.
+	 */
 	reserve(link: EntryLink, message: MessageOf<'reserve'>): void {
 		if (link.reservations.has(message.stream) || message.request !== message.summary.id) {
 			link.connection.close('a reservation that contradicts an earlier message');
@@ -126,7 +129,7 @@
 		sendToEntry(reservation, {type: 'refuse', kind, message});
 	}
 
-	/** Withdraws a reservation for its entry; a running one is cancelled if that is harmless. */
+	/** Withdraws a reservation for its entry; a running one is cancelled if it is idempotent or its body is incomplete. */
 	withdraw(link: EntryLink, stream: number): void {
 		const reservation = link.reservations.get(stream);
 		if (reservation === undefined) {
@@ -159,8 +162,9 @@
 		reservation.phase = phase;
 		reservation.progressedAt = performance.now();
 		this.apply({type: 'started', id: reservation.id});
-		// The scheduler may have withdrawn the slot and refused the request in this very step. The request must then
-		// not run, since the entry has received `refuse`, which means `not-run`. Only a request that is still reserved is run.
+		// The scheduler may have withdrawn the slot and refused the request while it handled `started`. The request must
+		// then not run, since the entry has received `refuse`, which means `not-run`. Only a request that is still
+		// reserved is run.
 		if (!this.#reservations.has(reservation.id)) {
 			return;
 		}
@@ -247,7 +251,10 @@
 		return [...this.#reservations.values()].filter(reservation => reservation.phase.type !== 'running' && !this.#gate?.isWaiting(reservation));
 	}
 
-	/** Handles a run that failed because the endpoint was lost: this shows a failure earlier and more reliably than the next health check. */
+	/**
+	 * Handles a run that failed because the endpoint was lost. Such a run reveals the failure of the endpoint earlier
+	 * and more reliably than the next health check.
+	 */
 	async #checkEndpoint(end: RunResult): Promise<void> {
 		if (end.type !== 'failed') {
 			return;
@@ -297,8 +304,8 @@
 	}
 
 	/**
-	 * Stops the run of a request. A non-idempotent request is never stopped but runs to its end, unless
-	 * its body is incomplete: then it would wait forever.
+	 * Stops the run of a request. A non-idempotent request is never stopped but runs to its end, unless its body is
+	 * incomplete: the run would otherwise wait forever for the rest of the body.
 	 */
 	#stopRun(reservation: Reservation, why: 'cancelled' | 'preempted'): void {
 		if (reservation.phase.type !== 'running' || !(reservation.summary.idempotent || reservation.phase.isBodyOpen)) {
--- a/src/side/side-telemetry.ts
+++ b/src/side/side-telemetry.ts
@@ -14,14 +14,14 @@
 	readonly #ended: Counter;
 	readonly #refused: Counter;
 	readonly #tokens: Counter;
-	readonly #wait: Latency;
+	readonly #queueWait: Latency;
 
 	private constructor(metrics: Metrics, journal: DecisionJournal) {
 		this.journal = journal;
 		this.#ended = metrics.counter('runs_total', 'Runs at the endpoint that ended, by tier and outcome.', ['tier', 'outcome']);
 		this.#refused = metrics.counter('refusals_total', 'Reservations refused, by tier and reason.', ['tier', 'reason']);
 		this.#tokens = metrics.counter('tokens_total', 'Tokens that the endpoint produced, by tier.', ['tier']);
-		this.#wait = metrics.latency('queue_wait', 'From reservation to offer, by tier.');
+		this.#queueWait = metrics.latency('queue_wait', 'From reservation to offer, by tier.');
 	}
 
 	record(reservation: Reservation, code: ReasonCode, detail: DecisionDetail = {}): void {
@@ -29,7 +29,7 @@
 	}
 
 	offered(reservation: Reservation, waitedMilliseconds: number): void {
-		this.#wait.for({tier: String(reservation.summary.tier)}).record(waitedMilliseconds);
+		this.#queueWait.for({tier: String(reservation.summary.tier)}).record(waitedMilliseconds);
 		this.record(reservation, ReasonCode.offered, {waitedMilliseconds: Math.round(waitedMilliseconds)});
 	}
 
--- a/src/side/side.ts
+++ b/src/side/side.ts
@@ -12,13 +12,14 @@
 import {type SideTelemetry} from './side-telemetry.js';
 import {type Backend, RequestExecutor, type RunCounts} from './request-executor.js';
 
+/** How often the scheduler gets a `tick` event while the side has requests. */
 const tickMilliseconds = 50;
 /** How often the side checks which heartbeats are due. */
 const heartbeatTickMilliseconds = 500;
 /**
- * How often the load is reported to entries with requests at this side. Requests are bound to
- * slots late, by offers, so the report may lag; with 90 entries per side, a shorter interval would exceed
- * the budget for control traffic.
+ * How often the load is reported to entries with requests at this side. A request gets its slot only by an offer
+ * of the side, so the report may lag; with 90 entries per side, a shorter interval would exceed the budget for
+ * control traffic.
  */
 const loadIntervalMilliseconds = 500;
 
@@ -33,7 +34,7 @@
 	readonly backend: Backend;
 	readonly scheduler: Scheduler<State>;
 	readonly logger: PartLogger;
-	/** Metrics and decisions; by default a private instance. */
+	/** Metrics and the decision journal; if omitted, the side creates its own. */
 	readonly telemetry?: SideTelemetry;
 	readonly catalogueOffset: () => number;
 	/** Receives `hello`, `heartbeat`, `pull` and `records` of each entry, by which the catalogue is replicated. */
@@ -68,9 +69,10 @@
 	#listener!: Listener;
 	#nextLink = 0;
 	#isDraining = false;
-	#endpointUp = true;
+	#isEndpointUp = true;
 	#targets: readonly TargetName[];
-	#lastState = '';
+	/** The state message that `#publishLoad` sent last, as JSON. */
+	#lastLoadText = '';
 
 	private constructor(options: SideOptions<State>) {
 		this.#options = options;
@@ -102,10 +104,10 @@
 			return 'leaving';
 		}
 
-		return this.#endpointUp ? 'serving' : 'down';
+		return this.#isEndpointUp ? 'serving' : 'down';
 	}
 
-	/** Values for `status`. */
+	/** Values for the operator's `status` command. */
 	status(): Omit<StatusAnswer, 'instance' | 'role'> {
 		const {endpoint, zone, catalogueOffset, quarantine} = this.#options;
 		const {slots, running, waiting} = this.#executor.view;
@@ -203,7 +205,10 @@
 		}
 	}
 
-	/** An entry has disconnected: its queued requests are withdrawn, and its running ones are cancelled if that is harmless. */
+	/**
+	 * An entry has disconnected: its queued requests are withdrawn, and its running ones are cancelled if they are
+	 * idempotent or their body is incomplete.
+	 */
 	linkClosed(link: EntryLink): void {
 		this.#links.delete(link);
 		this.#options.logger.info('A connection from an entry ended.', {entry: link.instance, address: link.connection.peer, reason: link.connection.closeReason});
@@ -214,11 +219,11 @@
 
 	/** Reports to the scheduler and the entries whether the endpoint is reachable. */
 	setEndpointUp(up: boolean): void {
-		if (up === this.#endpointUp) {
+		if (up === this.#isEndpointUp) {
 			return;
 		}
 
-		this.#endpointUp = up;
+		this.#isEndpointUp = up;
 		this.#options.logger.info(up ? 'The endpoint is reachable again.' : 'The endpoint is unreachable.', {endpoint: this.#options.endpoint});
 		this.#executor.apply({type: 'endpoint', up});
 		this.#publishState();
@@ -262,13 +267,13 @@
 				this.#executor.apply({type: 'tick'});
 			}
 		}, tickMilliseconds);
-		const state = setInterval(() => {
+		const load = setInterval(() => {
 			this.#publishLoad();
 		}, loadIntervalMilliseconds);
 		const heartbeat = setInterval(() => {
 			this.#sendHeartbeats();
 		}, heartbeatTickMilliseconds);
-		this.#timers.push(tick, state, heartbeat);
+		this.#timers.push(tick, load, heartbeat);
 	}
 
 	#sendHeartbeats(): void {
@@ -303,11 +308,11 @@
 	#publishLoad(): void {
 		const message = this.#stateMessage();
 		const text = JSON.stringify(message);
-		if (text === this.#lastState) {
+		if (text === this.#lastLoadText) {
 			return;
 		}
 
-		this.#lastState = text;
+		this.#lastLoadText = text;
 		for (const link of this.#links) {
 			if (link.reservations.size > 0) {
 				link.send(message);
--- a/src/side/suspect-gate.ts
+++ b/src/side/suspect-gate.ts
@@ -46,7 +46,7 @@
 			}
 
 			case Suspicion.suspect: {
-				this.#arrivedSuspect(reservation, status);
+				this.#admitOrHold(reservation, status);
 			}
 		}
 	}
@@ -96,7 +96,7 @@
 		}
 	}
 
-	#arrivedSuspect(reservation: Reservation, status: FingerprintStatus): void {
+	#admitOrHold(reservation: Reservation, status: FingerprintStatus): void {
 		if (this.#current) {
 			this.#waiting.push(reservation);
 			return;
