--- a/src/entry/admission.ts
+++ b/src/entry/admission.ts
@@ -8,8 +8,8 @@
 export type Caller = {readonly workspace: WorkspaceEntry; readonly classEntry: ClassEntry};
 
 /**
- * Finds the workspace by its bearer key and the class by its name (the workspace's default class if there is none).
- * Throws a `RequestError` if either is unknown.
+ * Finds the workspace by its API key (the bearer token) and the class by its name; without a name, the class is
+ * the workspace's default class. Throws a `RequestError` if either is unknown.
  */
 export function identifyCaller(catalogue: Catalogue, authorization: string | undefined, className: string | undefined): Caller {
 	const workspace = authenticate(catalogue, authorization);
@@ -42,14 +42,14 @@
 
 /** Checks that a model or service is in the catalogue and that the class may use it; throws a `RequestError` otherwise. */
 export function checkTarget(catalogue: Catalogue, caller: Caller, kind: 'model' | 'service', name: string): void {
-	const known = kind === 'model' ? catalogue.model(name) : catalogue.service(name);
+	const catalogueEntry = kind === 'model' ? catalogue.model(name) : catalogue.service(name);
 	const {targets} = caller.classEntry;
-	if (known === undefined || (targets.length > 0 && !targets.includes(name))) {
+	if (catalogueEntry === undefined || (targets.length > 0 && !targets.includes(name))) {
 		throw createRefusal(FailureKind.unknownModel, `The ${kind} ${name} does not exist or is not available to this class.`);
 	}
 }
 
-/** The description of a request that queues, placement and limits work with. */
+/** Describes a request for queues, placement and limits, which do not get the request itself. */
 export function summarize(caller: Caller, details: {id: RequestId; target: string; idempotent: boolean; promptTokens: number; prefix: string; fingerprint: string}): RequestSummary {
 	const {workspace, classEntry} = caller;
 	return {
--- a/src/entry/claims/claim-guard.ts
+++ b/src/entry/claims/claim-guard.ts
@@ -34,7 +34,8 @@
 	readonly #manager: ClaimManager;
 	#outcome!: Promise<ClaimOutcome>;
 	#stop: ClaimStop | undefined;
-	#isStarted = false;
+	/** True once `mayStart` has allowed that the request body is sent. */
+	#isStartAllowed = false;
 
 	private constructor(manager: ClaimManager) {
 		this.#manager = manager;
@@ -56,7 +57,7 @@
 			return {type: 'failed', failure: createFailure(FailureKind.claimUnavailable, 'The claim of the key could not be confirmed.')};
 		}
 
-		this.#isStarted = true;
+		this.#isStartAllowed = true;
 		return undefined;
 	}
 
@@ -84,7 +85,7 @@
 
 	/** The caller left; releases the key unless the request body may have been sent. */
 	abandoned(): void {
-		if (!this.#isStarted) {
+		if (!this.#isStartAllowed) {
 			void this.#release();
 		}
 	}
--- a/src/entry/claims/claim-manager.ts
+++ b/src/entry/claims/claim-manager.ts
@@ -50,6 +50,7 @@
 const defaultWaitMilliseconds = 2000;
 const retryAfterMilliseconds = 1000;
 
+/** Both clocks at the start of the command that last read the claim from the log. */
 type ClockReadings = {readAt: number; readAtWall: number};
 type HeldClaim = ClockReadings & {readonly key: ClaimKey};
 type PendingClaim = {readonly request: ClaimRequest; readonly key: ClaimKey; readonly claimId: string; readonly startedAt: ClockReadings};
@@ -112,10 +113,10 @@
 	}
 
 	/**
-	 * True if the request body may be sent now. The process may have been paused for an unknown time since the
-	 * claim, in which the key's window can end and the claim expire; sending the body would then run the key a
-	 * second time. After a pause longer than the lease the stream is therefore read again. Only this manager
-	 * releases the claim, so the result is valid until the body is sent.
+	 * True if the request body may be sent now. The process may have been paused for an unknown time since the claim.
+	 * During the pause the key's window can end and the claim expire; if the body were sent then, a second request
+	 * could run under the key. After a pause longer than the lease the stream is therefore read again. Only this
+	 * manager releases the claim, so the result is valid until the body is sent.
 	 */
 	async confirm(claimId: string): Promise<boolean> {
 		for (;;) {
--- a/src/entry/claims/partition.ts
+++ b/src/entry/claims/partition.ts
@@ -6,7 +6,7 @@
 
 /** Commands that may wait during an append; further ones are refused as not run. */
 const inboxCapacity = 1000;
-/** Limit of the backlog items, and of the commands, in one record. */
+/** Maximum number of backlog items, and of commands, in one record. */
 const maxBatchItems = 256;
 /** Releases and finishes that wait for an unavailable log; beyond this the oldest is dropped, and its key stays held until its window ends. */
 const maxBacklogItems = 4096;
@@ -58,7 +58,7 @@
 		return tryDeliver(this.#inbox, command);
 	}
 
-	/** Handles the commands that wait and stops; an unavailable log is not waited for. */
+	/** Handles the queued commands and then stops, without waiting for an unavailable log. */
 	async close(): Promise<void> {
 		this.#inbox.close();
 		await this.#done;
@@ -182,9 +182,9 @@
 
 	/**
 	 * Appends items as one record. If the response to an append is lost or the log is unavailable, it is unknown
-	 * whether the record is in the log, and a claim in the log could be treated as refused, or the reverse. The same
-	 * record is therefore appended again, which the fold tolerates, and the stream is searched for either copy,
-	 * until one is found or the deadline passes.
+	 * whether the record is in the log. A claim in the log could then be treated as refused, or one that is not in the
+	 * log as won. The same record is therefore appended again, which the fold tolerates, and the stream is searched
+	 * for either copy, until one is found or the deadline passes.
 	 */
 	* #append(items: readonly ClaimItem[], deadline: number): Body<AppendResult> {
 		const batch: ClaimBatch = {batch: uuidv7(), instance: this.#settings.instance, items: [...items]};
--- a/src/entry/entry-telemetry.ts
+++ b/src/entry/entry-telemetry.ts
@@ -44,8 +44,8 @@
 
 	/** Records the endpoints that placement considered, their order and the reasons. */
 	ranked(summary: RequestSummary, choice: Choice): void {
-		const looked = choice.reasons.map(({endpoint, reason}) => `${endpoint}: ${reason}`).join('; ');
-		this.record(summary.id, ReasonCode.ranked, {chosen: choice.endpoints.join(', '), looked});
+		const considered = choice.reasons.map(({endpoint, reason}) => `${endpoint}: ${reason}`).join('; ');
+		this.record(summary.id, ReasonCode.ranked, {chosen: choice.endpoints.join(', '), looked: considered});
 	}
 
 	/** Records a failed attempt that is retried. */
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -18,7 +18,7 @@
 import {RetryController} from './retry-controller.js';
 import {type SideLink} from './side-link.js';
 
-/** The source of an entry's catalogue, usually the follower of the platform's log. */
+/** The source of an entry's catalogue, usually the platform's `CatalogueFollower`. */
 export type CatalogueSource = {
 	readonly isReady: boolean;
 	current(): Catalogue;
@@ -41,7 +41,7 @@
 	readonly random: () => number;
 	/** Records of requests that crash endpoints; without it no request is refused as quarantined. */
 	readonly quarantine?: QuarantineLedger;
-	/** Claims idempotency keys; without it a keyed request that may not be repeated is refused. */
+	/** Claims idempotency keys; without it, a request that has a key and is not idempotent is refused. */
 	readonly claims?: ClaimManager;
 	/** Metrics and the decision journal; if omitted, the entry creates its own. */
 	readonly telemetry?: EntryTelemetry;
@@ -80,8 +80,12 @@
 	#limiter!: Limiter;
 	#requestServer!: RequestServer;
 	#activeCount = 0;
-	/** Readiness fails, but requests are still served until the load balancer has noticed. */
+	/**
+	 * True from the start of a shutdown: the entry reports that it is not ready, but still serves requests until the
+	 * load balancer has noticed.
+	 */
 	#isDraining = false;
+	/** True once new requests are refused. */
 	#isStopping = false;
 	#onIdle: (() => void) | undefined;
 
--- a/src/entry/fleet.ts
+++ b/src/entry/fleet.ts
@@ -31,8 +31,8 @@
 
 /**
  * The sides (sidecar processes, one per endpoint) that this entry knows: polls the membership list, maintains a
- * connection to each side and passes their state to the placement policy. A side's own state report takes
- * precedence over the loss of its connection, which takes precedence over the membership list.
+ * connection to each side and passes their state to the placement policy. Whether a side can be used is decided
+ * first by the side's own state report, then by the loss of its connection, and last by the membership list.
  */
 export class Fleet<State = unknown> implements AsyncDisposable, SideLinkOwner {
 	static create<State>(options: FleetOptions<State>): Fleet<State> {
@@ -44,7 +44,7 @@
 	readonly #options: FleetOptions<State>;
 	#placementState: State;
 	#entries: ReadonlyMap<string, string> = new Map();
-	#members = new Map<string, Member>();
+	#sideMembers = new Map<string, Member>();
 	readonly #maintainedAddresses = new Set<string>();
 	readonly #links = new Map<EndpointId, SideLink>();
 	readonly #timers: NodeJS.Timeout[];
@@ -86,7 +86,10 @@
 		return this.#links.get(endpoint);
 	}
 
-	/** The live entries of the membership list, by address; the address is also the value, as all entries know an entry by it. */
+	/**
+	 * The live entries of the membership list. Key and value are both the address, because all entries use it as the
+	 * name of an entry.
+	 */
 	get entries(): ReadonlyMap<string, string> {
 		return this.#entries;
 	}
@@ -177,8 +180,8 @@
 		}
 
 		this.#entries = new Map(list.filter(member => member.role === 'entry' && member.state === 'live').map(({address}) => [address, address]));
-		this.#members = new Map(list.filter(member => member.role === 'side').map(member => [member.address, member]));
-		for (const member of this.#members.values()) {
+		this.#sideMembers = new Map(list.filter(member => member.role === 'side').map(member => [member.address, member]));
+		for (const member of this.#sideMembers.values()) {
 			if (!this.#maintainedAddresses.has(member.address) && member.state === 'live') {
 				this.#maintainedAddresses.add(member.address);
 				void spawn('side-link', () => this.#maintainLink(member.address));
@@ -188,7 +191,7 @@
 
 	/** Maintains a connection to one address for as long as it is in the membership list. */
 	* #maintainLink(address: string): Body<void> {
-		while (!this.#closed && this.#members.has(address)) {
+		while (!this.#closed && this.#sideMembers.has(address)) {
 			yield * this.#connect(address);
 			yield * sleep(redialMilliseconds);
 		}
--- a/src/entry/limits/allocator-connection.ts
+++ b/src/entry/limits/allocator-connection.ts
@@ -4,7 +4,7 @@
 export type LimitReport = MessageOf<'limit-report'>;
 export type LimitLease = MessageOf<'limit-lease'>;
 
-/** Pause before the next connection attempt after one to the allocator failed. */
+/** Pause after a failed attempt to connect to the allocator, before the next attempt. */
 const redialMilliseconds = 500;
 
 /**
@@ -20,7 +20,7 @@
 	readonly #security: Security;
 	readonly #onLease: (lease: LimitLease) => void;
 	#connection: Connection | undefined;
-	#pending: LimitReport | undefined;
+	#unsentReport: LimitReport | undefined;
 	#isDialing = false;
 	#failedAt = Number.NEGATIVE_INFINITY;
 	#isClosed = false;
@@ -38,7 +38,7 @@
 			return;
 		}
 
-		this.#pending = report;
+		this.#unsentReport = report;
 		if (!this.#isDialing && !this.#isClosed && performance.now() - this.#failedAt > redialMilliseconds) {
 			this.#isDialing = true;
 			void spawn('limit-keeper', () => this.#connect());
@@ -65,9 +65,9 @@
 			return;
 		}
 
-		if (this.#pending) {
-			this.#connection.send(this.#pending);
-			this.#pending = undefined;
+		if (this.#unsentReport) {
+			this.#connection.send(this.#unsentReport);
+			this.#unsentReport = undefined;
 		}
 
 		yield * this.#read(this.#connection);
--- a/src/entry/limits/limiter.ts
+++ b/src/entry/limits/limiter.ts
@@ -23,12 +23,18 @@
 
 /** How often the classes are checked for due reports. */
 const reportTickMilliseconds = 100;
-/** How long requests use the even share without waiting after an allocator did not respond. */
+/**
+ * After an allocator did not respond, requests use the even share (an equal part of the limit per entry) for this
+ * long, without waiting for a lease.
+ */
 const timeoutBackoffMilliseconds = 500;
 /** A class without requests for this long is no longer reported, and its state is discarded. */
 const classIdleMilliseconds = 10_000;
 
-/** A round trip to an allocator in another availability zone takes a few milliseconds; a slower one counts as unreachable. */
+/**
+ * How long a request waits for a lease. A round trip to an allocator in another availability zone takes a few
+ * milliseconds; an allocator that takes longer than this counts as unreachable.
+ */
 const firstLeaseTimeoutMilliseconds = 100;
 /** Requests of one class that may wait for a lease; further ones use the even share at once. */
 const maxFirstLeaseWaiters = 64;
@@ -63,8 +69,11 @@
 	readonly counts = {reported: 0, leased: 0};
 	readonly #options: LimiterOptions;
 	#listener!: Listener;
+	/** Connections from other entries, which report to this one as their allocator. */
 	readonly #connections = new Set<Connection>();
-	readonly #peers = new Map<string, AllocatorConnection>();
+	/** Connections to the allocators of this entry's classes, by address. */
+	readonly #allocatorConnections = new Map<string, AllocatorConnection>();
+	/** The leases granted by this entry as an allocator, by class. */
 	readonly #allocators = new Map<string, AllocatorState>();
 	readonly #classes = new Map<string, LimitedClass>();
 	readonly #timer: NodeJS.Timeout;
@@ -88,9 +97,9 @@
 	/**
 	 * Decides whether to admit one request of a class. `finish` must be called for each admitted request.
 	 *
-	 * An entry without a lease uses its even share, although the allocator may have leased that to other entries,
-	 * so that each entry which a class reaches for the first time adds to an excess over the limit. The first
-	 * requests therefore wait briefly for the lease, unless the allocator failed to respond recently.
+	 * An entry without a lease uses its even share, which the allocator may have leased to other entries already. Each
+	 * entry at which requests of the class arrive for the first time would then raise the total above the limit. The
+	 * first requests therefore wait briefly for the lease, unless the allocator failed to respond recently.
 	 */
 	* admit(className: string, limits: Limits, promptTokens: number): Body<LimiterDecision> {
 		if (!isLimited(limits)) {
@@ -103,7 +112,7 @@
 		}
 
 		const first = this.#decide(limitedClass, limits, promptTokens);
-		if (first.type === 'admitted' || !this.#isDue(limitedClass, true)) {
+		if (first.type === 'admitted' || !this.#isReportDue(limitedClass, true)) {
 			return first;
 		}
 
@@ -129,7 +138,7 @@
 
 	async [Symbol.asyncDispose](): Promise<void> {
 		clearInterval(this.#timer);
-		for (const peer of this.#peers.values()) {
+		for (const peer of this.#allocatorConnections.values()) {
 			peer.close();
 		}
 
@@ -162,7 +171,7 @@
 		return decision;
 	}
 
-	#isDue(limitedClass: LimitedClass, isUrgent: boolean): boolean {
+	#isReportDue(limitedClass: LimitedClass, isUrgent: boolean): boolean {
 		return performance.now() - limitedClass.reportedAt >= reportIntervalMilliseconds(limitedClass.state, isUrgent);
 	}
 
@@ -174,7 +183,7 @@
 
 		const leaseArrived = channel<true>(1);
 		limitedClass.waiting.add(leaseArrived);
-		if (this.#isDue(limitedClass, true)) {
+		if (this.#isReportDue(limitedClass, true)) {
 			this.#reportClasses([className], now);
 		}
 
@@ -199,7 +208,7 @@
 				continue;
 			}
 
-			if (this.#isDue(limitedClass, false)) {
+			if (this.#isReportDue(limitedClass, false)) {
 				due.push(name);
 			}
 		}
@@ -232,12 +241,12 @@
 			return;
 		}
 
-		let peer = this.#peers.get(address);
+		let peer = this.#allocatorConnections.get(address);
 		if (!peer) {
 			peer = AllocatorConnection.create(address, this.#options.security, lease => {
 				this.#applyLeases(lease);
 			});
-			this.#peers.set(address, peer);
+			this.#allocatorConnections.set(address, peer);
 		}
 
 		peer.report(report);
@@ -288,10 +297,10 @@
 		}
 
 		const addresses = new Set(this.#options.entries().values());
-		for (const [address, peer] of this.#peers) {
+		for (const [address, peer] of this.#allocatorConnections) {
 			if (!addresses.has(address)) {
 				peer.close();
-				this.#peers.delete(address);
+				this.#allocatorConnections.delete(address);
 			}
 		}
 	}
--- a/src/entry/model-call.ts
+++ b/src/entry/model-call.ts
@@ -50,6 +50,7 @@
 	readonly #options: ModelCallOptions;
 	readonly #progress: Progress = {events: [], firstTokenAt: undefined};
 	readonly #finder: SlotFinder;
+	/** The combined verdict of all attempts that failed so far. */
 	#verdict: Verdict = Verdict.notRun;
 	#attempts = 0;
 	#failures = 0;
@@ -124,7 +125,7 @@
 		}
 	}
 
-	/** Ends a call whose key was not acquired: with the cached response of the key's request, or with a failure. */
+	/** Ends a call whose key was not acquired: with the cached response of the request that holds the key, or with a failure. */
 	* #endByClaim(stop: ClaimStop): Body<CallEnd> {
 		if (stop.type === 'failed') {
 			return yield * this.#fail(stop.failure);
@@ -167,8 +168,8 @@
 	}
 
 	/**
-	 * Excludes the failed endpoint from the next search, except after a preemption: that is no fault of the
-	 * endpoint, and the request may queue at any side for its class's full time again. Sides preempt one
+	 * Excludes the failed endpoint from the next search, except after a preemption. A preemption is no fault of the
+	 * endpoint, so the request may queue at any side again, for the full queue time of its class. Sides preempt one
 	 * request a bounded number of times.
 	 */
 	#prepareRetry(slot: Slot, failure: Failure): void {
@@ -181,8 +182,8 @@
 	}
 
 	/**
-	 * Waits as long as the retry policy asks; false if it allows no retry. An interrupted stream may queue for a
-	 * slot as long as a new request.
+	 * Waits as long as the retry policy asks; false if it allows no retry. After the interruption of a stream, or a
+	 * preemption, the request may queue for a slot as long as a new request.
 	 */
 	* #awaitRetry(failure: Failure): Body<boolean> {
 		this.#verdict = combineVerdicts(this.#verdict, failure.verdict);
--- a/src/entry/protocol/collector.ts
+++ b/src/entry/protocol/collector.ts
@@ -27,7 +27,8 @@
 
 	readonly #kind: ResponseKind;
 	readonly #message: Fields = {};
-	#head: Event = {};
+	/** The fields of the first event with an id, without its choices. */
+	#envelope: Event = {};
 	#text = '';
 	#finishReason: string | undefined;
 	#logprobs: Fields | undefined;
@@ -43,9 +44,9 @@
 			return false;
 		}
 
-		if (this.#head.id === undefined) {
-			const {choices, ...head} = event;
-			this.#head = head;
+		if (this.#envelope.id === undefined) {
+			const {choices, ...envelope} = event;
+			this.#envelope = envelope;
 		}
 
 		const choice = event.choices?.[0];
@@ -60,11 +61,11 @@
 	join(requestId: string, usage?: string): Fields {
 		const usageObject = parseUsage(usage);
 		return {
-			id: this.#head.id ?? requestId,
+			id: this.#envelope.id ?? requestId,
 			object: this.#kind === 'chat' ? 'chat.completion' : 'text_completion',
-			created: this.#head.created ?? Math.floor(Date.now() / 1000),
-			model: this.#head.model ?? '',
-			...('system_fingerprint' in this.#head && {system_fingerprint: this.#head.system_fingerprint}),
+			created: this.#envelope.created ?? Math.floor(Date.now() / 1000),
+			model: this.#envelope.model ?? '',
+			...('system_fingerprint' in this.#envelope && {system_fingerprint: this.#envelope.system_fingerprint}),
 			choices: [this.#joinChoice()],
 			...(usageObject !== undefined && {usage: usageObject}),
 		};
--- a/src/entry/protocol/route.ts
+++ b/src/entry/protocol/route.ts
@@ -37,14 +37,14 @@
 		}
 
 		default: {
-			throw RequestError.create(createFailure(FailureKind.unknownPath, 'There is nothing at this path. Known are /v1/chat/completions, /v1/completions, /v1/models and /services/NAME/.'));
+			throw RequestError.create(createFailure(FailureKind.unknownPath, 'The path is unknown. The known paths are /v1/chat/completions, /v1/completions, /v1/models and /services/NAME/.'));
 		}
 	}
 }
 
-function requireMethod(method: string, wanted: string, path: string): void {
-	if (method !== wanted) {
-		throw RequestError.create(createFailure(FailureKind.wrongMethod, `${path} takes ${wanted} only.`));
+function requireMethod(method: string, allowedMethod: string, path: string): void {
+	if (method !== allowedMethod) {
+		throw RequestError.create(createFailure(FailureKind.wrongMethod, `${path} accepts only the method ${allowedMethod}.`));
 	}
 }
 
--- a/src/entry/relay.ts
+++ b/src/entry/relay.ts
@@ -41,9 +41,10 @@
 };
 
 /**
- * Relays the response of one attempt to the caller. Every chunk must continue exactly where the caller's
- * part ends: a gap, a repetition or a count that is too low is a fault of the endpoint and ends the attempt.
- * A truncated stream is never ended as if it were complete.
+ * Relays the response of one attempt to the caller. The index of every chunk must be the number of events that the
+ * caller already has, and the count in the `end` message must match it as well. A gap, a repetition or a response
+ * that is too short is a fault of the endpoint and ends the attempt. A truncated stream is never ended as if it
+ * were complete.
  */
 export class Relay {
 	static create(options: RelayOptions): Relay {
@@ -51,7 +52,12 @@
 	}
 
 	readonly #options: RelayOptions;
+	/** Events written to the caller for which no credit was granted to the side yet. */
 	#uncreditedEvents = 0;
+	/**
+	 * When progress was last reported to placement, initially the start of the attempt; moved forward by the time
+	 * spent waiting for a slow caller.
+	 */
 	#progressedAt = performance.now();
 	/** Tokens since `#progressedAt` that were not reported to placement yet. */
 	#unreportedTokens = 0;
@@ -128,7 +134,7 @@
 			}
 
 			case 'refuse': {
-				// The slot's offer expired before the body arrived; the side has passed the body to no endpoint.
+				// The slot's offer expired before the body arrived; the side has not sent the body to its endpoint.
 				const {kind, message: text, retryAfterMilliseconds} = message;
 				return {type: 'failed', failure: createFailure(kind, text, {retryAfterMilliseconds})};
 			}
--- a/src/entry/request-event.ts
+++ b/src/entry/request-event.ts
@@ -6,6 +6,7 @@
 	= | {readonly type: 'frame'; readonly link: SideLink; readonly message: StreamMessage}
 		| {readonly type: 'link-lost'; readonly link: SideLink}
 		| {readonly type: 'caller-left'}
+	/** The request's timer fired. The event is stale if the timer was set again since; `hasFired` is then false. */
 		| {readonly type: 'alarm'}
 	/** The idempotency key belongs to another request or could not be claimed: the request must not run. */
 		| {readonly type: 'claim-stopped'};
--- a/src/entry/request-server.ts
+++ b/src/entry/request-server.ts
@@ -63,8 +63,8 @@
 	}
 
 	/**
-	 * Reports an error thrown before the request body was sent to a side, so a `RequestError` is certain to be
-	 * not run. Later failures are reported by the call itself and are never thrown.
+	 * Reports an error thrown before the request body was sent to a side, so a request that ends with a `RequestError`
+	 * has certainly not run. Later failures are reported by the call itself and are never thrown.
 	 */
 	#refuse(id: RequestId, response: ServerResponse, error: unknown): void {
 		if (error instanceof RequestError) {
@@ -129,9 +129,9 @@
 	}
 
 	/**
-	 * Runs a request that its class's limits admit, and ends its admission when it ends, also by an error.
-	 * A request over the limits is refused at once, as not run, with the time after which to retry. `run`
-	 * claims the idempotency key, so that a refusal by the limits leaves no claim behind.
+	 * Runs a request if the limits of its class admit it, and reports its end to the limiter, also after an error. A
+	 * request over the limits is refused at once, as not run, with the time after which to retry. The idempotency key
+	 * is claimed only inside `run`, so that a refusal by the limits leaves no claim behind.
 	 */
 	* #withinLimits<Result>(caller: Caller, summary: RequestSummary, run: () => Body<Result>): Body<Result> {
 		const {name, limits} = caller.classEntry;
--- a/src/entry/retry-controller.ts
+++ b/src/entry/retry-controller.ts
@@ -15,7 +15,7 @@
 		this.#random = random;
 	}
 
-	/** Adds a new request to the retry budget. */
+	/** Counts a new request, which raises the retry budget. */
 	requestArrived(): void {
 		this.#budget = stepRetryBudget(this.#budget, {type: 'request'}, performance.now());
 	}
--- a/src/entry/service-body.ts
+++ b/src/entry/service-body.ts
@@ -29,8 +29,8 @@
 	/** Waits for the first bytes, or for the end of the body. */
 	* readFirstPart(): Body<void> {
 		this.firstPart = yield * wait(this.#next());
-		const nothingLeft = this.#buffered.length === 0 && this.#request.complete && this.#request.readableLength === 0;
-		this.isComplete = this.firstPart.length === 0 || nothingLeft;
+		const isExhausted = this.#buffered.length === 0 && this.#request.complete && this.#request.readableLength === 0;
+		this.isComplete = this.firstPart.length === 0 || isExhausted;
 	}
 
 	/** The service has read `parts` more parts. */
--- a/src/entry/service-call.ts
+++ b/src/entry/service-call.ts
@@ -95,7 +95,7 @@
 			const found = yield * this.#finder.find();
 			const end = found.type === 'slot' ? yield * this.#runAttempt(found.slot) : attemptEndOf(found);
 			if (end.type !== 'failed') {
-				yield * this.#completeClaim(end, found);
+				yield * this.#endClaim(end, found);
 				telemetry.record(summary.id, end.type === 'whole' ? ReasonCode.finished : ReasonCode.cancelled);
 				return;
 			}
@@ -113,7 +113,7 @@
 		}
 	}
 
-	* #completeClaim(end: AttemptEnd, found: SlotFound): Body<void> {
+	* #endClaim(end: AttemptEnd, found: SlotFound): Body<void> {
 		if (end.type === 'whole' && found.type === 'slot') {
 			if (this.#claim) {
 				yield * this.#claim.finished(found.slot.endpoint);
@@ -234,7 +234,7 @@
 			}
 
 			case 'refuse': {
-				// The slot's offer expired before the body arrived; the side has passed the body to no endpoint.
+				// The slot's offer expired before the body arrived; the side has not sent the body to its endpoint.
 				const {kind, message: text, retryAfterMilliseconds} = message;
 				return {type: 'failed', failure: createFailure(kind, text, {retryAfterMilliseconds})};
 			}
@@ -275,7 +275,10 @@
 	}
 }
 
-/** A service's responses are streamed and not cached, so a repeated key can only be refused as in use. */
+/**
+ * The end of an attempt for which no slot was found. The responses of services are streamed and not cached, so a
+ * request whose key was already used can only be refused as `keyInUse`.
+ */
 function attemptEndOf(found: Exclude<SlotFound, {type: 'slot'}>): AttemptEnd {
 	if (found.type !== 'claim-stopped') {
 		return found;
--- a/src/entry/side-link.ts
+++ b/src/entry/side-link.ts
@@ -35,7 +35,7 @@
 	state: MessageOf<'state'> | undefined;
 	/** Frames for a stream that is not open; expected after a withdrawal. */
 	staleFrames = 0;
-	/** Frames whose request id differs from the stream's; always a fault. */
+	/** Frames whose request id differs from the stream's; always a fault, after which the link is closed. */
 	foreignFrames = 0;
 	readonly #connection: Connection;
 	readonly #streams = new Map<number, OpenStream>();
--- a/src/entry/slot-finder.ts
+++ b/src/entry/slot-finder.ts
@@ -31,7 +31,7 @@
 	= | {readonly type: 'slot'; readonly slot: Slot}
 		| {readonly type: 'failed'; readonly failure: Failure}
 		| {readonly type: 'caller-left'}
-	/** The request may not run under its key; no slot is held. */
+	/** The request must not run under its key; no slot is held. */
 		| {readonly type: 'claim-stopped'; readonly stop: ClaimStop};
 
 /** Finds a slot for each attempt of one request, within the time that the request may wait in queues. */
@@ -131,7 +131,7 @@
 			}
 
 			failure = result.failure;
-			if (!this.#canTryOthers(result.tried)) {
+			if (!this.#excludeTried(result.tried)) {
 				break;
 			}
 		}
@@ -162,7 +162,7 @@
 	 * Excludes the endpoints that were tried; true if others remain. After a refusal the remaining sides are
 	 * tried once each; when all have refused, the refusal is final and reported at once.
 	 */
-	#canTryOthers(tried: readonly EndpointId[]): boolean {
+	#excludeTried(tried: readonly EndpointId[]): boolean {
 		for (const endpoint of tried) {
 			this.#excluded.add(endpoint);
 		}
@@ -175,7 +175,7 @@
 		return this.deadline - performance.now();
 	}
 
-	/** The summary with the time that is left until the first token and in queues. */
+	/** The summary with the remaining time until the first token is due and the remaining time in queues. */
 	#currentSummary(): RequestSummary {
 		const {summary} = this.#options;
 		const waited = performance.now() - this.#waitStartedAt;
--- a/src/entry/slot.ts
+++ b/src/entry/slot.ts
@@ -14,7 +14,10 @@
 	readonly endpoint: EndpointId;
 	readonly link: SideLink;
 	readonly stream: number;
-	/** The body must be sent before this time of `performance.now()`, half of the time that the side holds the slot. */
+	/**
+	 * The body must be sent before this time of `performance.now()`: the arrival of the offer plus half of the time
+	 * that the side holds the slot.
+	 */
 	readonly startDeadline?: number;
 };
 
@@ -69,7 +72,7 @@
 		return {type: 'failed', failure: this.#lastRefusal ?? createNoEndpointFailure(), tried: this.#tried};
 	}
 
-	#reserve(endpoint: EndpointId, asksFirst: boolean): void {
+	#reserve(endpoint: EndpointId, isFirstChoice: boolean): void {
 		const link = this.#options.fleet.link(endpoint);
 		this.#tried.push(endpoint);
 		if (link === undefined) {
@@ -79,7 +82,7 @@
 		const stream = link.openStream(this.#options.summary.id, this.#options.inbox);
 		const slot = {endpoint, link, stream};
 		this.#reservations.set(reservationKey(link, stream), slot);
-		link.send({type: 'reserve', stream, request: this.#options.summary.id, summary: {...this.#options.summary, asksFirst}});
+		link.send({type: 'reserve', stream, request: this.#options.summary.id, summary: {...this.#options.summary, asksFirst: isFirstChoice}});
 		this.#options.fleet.observe({type: 'reserved', endpoint, request: this.#options.summary.id});
 		this.#record(ReasonCode.reserved, {endpoint});
 	}
