--- a/src/platform/catalogue-follower.ts
+++ b/src/platform/catalogue-follower.ts
@@ -260,9 +260,12 @@
 		}
 	}
 
-	/** Records from a peer suffice for readiness, so that a process can start while the log is unavailable. */
-	#notifyAdvance(isCatalogue = true): void {
-		if (isCatalogue) {
+	/**
+	 * Notifies the listener that the catalogue advanced. `isComplete` makes the process ready; records from a peer suffice for that,
+	 * so that a process can start while the log is unavailable.
+	 */
+	#notifyAdvance(isComplete = true): void {
+		if (isComplete) {
 			this.#becomeReady();
 		}
 
@@ -279,30 +282,30 @@
 	* #writeSnapshots(): Body<void> {
 		while (!this.#abort.signal.aborted) {
 			yield * receiveWithin(this.#stop, this.#times.snapshotCheckMilliseconds);
-			if (!this.#isDue()) {
+			if (!this.#isSnapshotDue()) {
 				continue;
 			}
 
 			yield * receiveWithin(this.#stop, this.#random() * this.#times.snapshotSpreadMilliseconds);
-			if (this.#isDue() && !this.#abort.signal.aborted) {
-				yield * this.#append();
+			if (this.#isSnapshotDue() && !this.#abort.signal.aborted) {
+				yield * this.#appendSnapshot();
 			}
 		}
 	}
 
 	/**
 	 * A quarter of the interval must have passed by the monotonic clock since this instance last read or wrote
-	 * a snapshot, which leaves it several tries before retention. Without this bound it would flood the log if its
+	 * a snapshot, which leaves it several attempts within the log's retention. Without this bound it would flood the log if its
 	 * clock is hours ahead, so that every snapshot looks old, or if the log is slow, so that its own is not read back.
 	 */
-	#isDue(): boolean {
+	#isSnapshotDue(): boolean {
 		const settings = this.#options.snapshots ?? defaultSnapshotSettings;
 		const isSeenRecently = performance.now() - this.#snapshotSeenAt < settings.intervalMilliseconds / 4;
 		return this.#isReady && !isSeenRecently && isSnapshotDue(this.#catalogue, this.#snapshots, this.#now(), settings);
 	}
 
-	/** A lost response needs no retry: the snapshot is either read back or becomes due again. */
-	* #append(): Body<void> {
+	/** Appends a snapshot to the log. A lost response needs no retry: the snapshot is either read back or becomes due again. */
+	* #appendSnapshot(): Body<void> {
 		const {log, instance} = this.#options;
 		this.#snapshotSeenAt = performance.now();
 		try {
--- a/src/platform/connection-watch.ts
+++ b/src/platform/connection-watch.ts
@@ -2,7 +2,7 @@
 
 /**
  * Tracks whether a request's connection was established. Node writes nothing before that, so a call that
- * failed without a connection can't have taken effect; a later failure leaves that open.
+ * failed without a connection can't have taken effect; after a later failure it is unknown whether the call took effect.
  *
  * A reused keep-alive connection gets no listener, since listeners would accumulate on it with every call.
  */
--- a/src/platform/log-client.ts
+++ b/src/platform/log-client.ts
@@ -85,8 +85,8 @@
 type Page = z.infer<typeof pageSchema>;
 
 /**
- * Throws if the records are out of order or start before `from`, either of which would make a fold go
- * back. Code that uses the page can rely on its order.
+ * Throws if the records are out of order or start before `from`, either of which would make the
+ * offset of a fold decrease. The callers rely on the order of the page that is returned.
  */
 function checkOrder(page: Page, from: number): Page {
 	let expected = from;
--- a/src/platform/quarantine-ledger.ts
+++ b/src/platform/quarantine-ledger.ts
@@ -12,10 +12,13 @@
 const retryMilliseconds = 1000;
 /** Pause after a read, so that a log that does not wait is not polled in a busy loop. */
 const readPauseMilliseconds = 20;
-/** Largest number of records queued while the log is unavailable; peers have received them by frame already. */
+/** Largest number of records queued for the log while it is unavailable; peers have already received them in wire messages. */
 const outboxCapacity = 500;
 
-/** Called with records that were new to this process. Those from the log need not be forwarded, as all processes read it. */
+/**
+ * Called with records that were new to this process. `process` means that they come from this process or a peer; records from the log
+ * need not be forwarded, because all processes read it.
+ */
 export type RecordListener = (records: readonly QuarantineRecord[], from: 'process' | 'log') => void;
 
 export type QuarantineLedgerSettings = {
@@ -26,8 +29,8 @@
 };
 
 /**
- * The records of requests that crash endpoints. They come from this process, from peers by frame, which
- * is fast, and from the log, which also reaches the processes that no frame reached.
+ * The records of requests that crash endpoints. They come from this process, from peers in wire messages,
+ * which is fast, and from the log, which also reaches processes that received no such message.
  */
 export class QuarantineLedger implements AsyncDisposable {
 	static create(settings: QuarantineLedgerSettings): QuarantineLedger {
@@ -44,7 +47,7 @@
 	#state: Quarantine = createQuarantine();
 	#records: QuarantineRecord[] = [];
 	#tasks: ReadonlyArray<Promise<void>> = [];
-	/** True after a failed read, until one succeeds. Reads then don't wait: a long poll would still hang when the log is available again. */
+	/** True after a failed read, until one succeeds. Reads then don't wait for new records: a long poll sent to an unresponsive log would hang after the log is available again. */
 	#isLogUnavailable = false;
 
 	private constructor(settings: QuarantineLedgerSettings) {
--- a/src/platform/record-history.ts
+++ b/src/platform/record-history.ts
@@ -3,12 +3,12 @@
 /** A record as peers exchange it: the value is JSON text. */
 export type TextRecord = {readonly offset: number; readonly time: number; readonly value: string};
 
-const historyRecords = 512;
-const historyBytes = 1_000_000;
-const responseBytes = 256_000;
+const maximumRecords = 512;
+const maximumBytes = 1_000_000;
+const maximumResponseBytes = 256_000;
 
 /**
- * The newest records of a stream without a gap, for peers that are a little behind. Bounded by count
+ * The newest records of a stream without a gap, for peers that lack only a few of them. Bounded by count
  * and size; peers that need a dropped record get a snapshot instead.
  */
 export class RecordHistory {
@@ -32,7 +32,7 @@
 		const value = JSON.stringify(record.value) ?? 'null';
 		this.#records.push({offset: record.offset, time: record.time, value});
 		this.#bytes += value.length;
-		while (this.#records.length > historyRecords || this.#bytes > historyBytes) {
+		while (this.#records.length > maximumRecords || this.#bytes > maximumBytes) {
 			this.#bytes -= this.#records.shift()!.value.length;
 		}
 	}
@@ -48,7 +48,7 @@
 		let bytes = 0;
 		for (const record of this.#records.slice(offset - first)) {
 			bytes += record.value.length;
-			if (response.length > 0 && bytes > responseBytes) {
+			if (response.length > 0 && bytes > maximumResponseBytes) {
 				break;
 			}
 
--- a/src/platform/types.ts
+++ b/src/platform/types.ts
@@ -6,6 +6,7 @@
 	readonly value: unknown;
 };
 
+/** The result of a read. `first` is the oldest retained offset, `next` the one after the newest record of the stream. */
 export type ReadResult
 	= | {readonly type: 'records'; readonly records: readonly LogRecord[]; readonly next: number; readonly first: number}
 	/** Retention has dropped the requested offset; `first` is the oldest retained one. */
@@ -27,7 +28,7 @@
 	read(stream: string, from: number, options?: {limit?: number; waitMilliseconds?: number; signal?: AbortSignal}): Promise<ReadResult>;
 };
 
-/** A member of the platform's membership list, which lags and may be wrong. */
+/** A member of the platform's membership list, which may be out of date or wrong. */
 export type Member = {
 	readonly instance: string;
 	readonly role: 'entry' | 'side';
