--- a/src/catalogue/catalogue.ts
+++ b/src/catalogue/catalogue.ts
@@ -10,7 +10,7 @@
 export const noOffset = -1;
 
 /**
- * The catalogue after a prefix of its stream. Immutable: `advance` returns a new catalogue. Two catalogues
+ * All entries that are in force after a prefix of the stream's records. Immutable: `advance` returns a new catalogue. Two catalogues
  * with the same offset are equal in all processes.
  */
 export class Catalogue {
@@ -42,8 +42,8 @@
 	/**
 	 * Returns the catalogue after the record at `offset`; `entries` is given if that record changed them.
 	 *
-	 * Throws `RangeError` unless the offset increases. A late or repeated record that is applied again would revert an
-	 * accepted change; with increasing offsets every catalogue is a prefix of the one stream, which can't revert.
+	 * Throws `RangeError` unless the offset increases. Applying a late or repeated record again would revert an
+	 * accepted change. With increasing offsets every catalogue corresponds to a prefix of the one stream, so that no change is reverted.
 	 */
 	advance(offset: number, entries?: ReadonlyMap<string, RevisedEntry>): Catalogue {
 		if (offset <= this.offset) {
--- a/src/catalogue/change.ts
+++ b/src/catalogue/change.ts
@@ -14,7 +14,7 @@
 export const operationSchema = z.discriminatedUnion('type', [putSchema, removeSchema]);
 export type Operation = z.infer<typeof operationSchema>;
 
-/** Largest number of operations of a change, so that a record can be read as a whole. */
+/** Largest number of operations of a change. It bounds the size of a record, which is read in one piece. */
 export const maximumOperations = 1000;
 
 /** A change that an operator publishes. Its operations are applied atomically. */
--- a/src/catalogue/fold.ts
+++ b/src/catalogue/fold.ts
@@ -34,8 +34,8 @@
 export type ApplyResult = {readonly catalogue: Catalogue; readonly verdict: RecordVerdict};
 
 /**
- * Applies a record to a catalogue. A pure function of both, so all readers of the stream get the same
- * catalogue without coordination. No content of a record makes it throw: a malformed record is rejected, and
+ * Applies a record to a catalogue. This function is pure, so all readers of the stream get the same
+ * catalogue without coordination. It does not throw for any content of a record: a malformed record is rejected, and
  * the catalogue's offset advances past it.
  */
 export function applyRecord(catalogue: Catalogue, record: StreamRecord): ApplyResult {
--- a/src/catalogue/snapshot.ts
+++ b/src/catalogue/snapshot.ts
@@ -32,7 +32,7 @@
  */
 export const defaultSnapshotSettings: SnapshotSettings = {intervalMilliseconds: 600_000, intervalRecords: 500};
 
-/** True if a reader that starts soon could find no usable snapshot, or too many records after it. */
+/** True if a reader that starts soon might find no usable snapshot, or would have to read too many records after it. */
 export function isSnapshotDue(catalogue: Catalogue, state: SnapshotState, now: number, settings = defaultSnapshotSettings): boolean {
 	if (catalogue.offset < 0) {
 		return false;
