--- a/src/concurrency/alarm.ts
+++ b/src/concurrency/alarm.ts
@@ -27,7 +27,7 @@
 		return this.#fired;
 	}
 
-	/** Starts or restarts the timer: it fires after `milliseconds` and no earlier; an earlier setting is replaced. */
+	/** Starts or restarts the timer, which then fires after `milliseconds`, never earlier; a previous setting is replaced. */
 	set(milliseconds: number): void {
 		this.#fired = false;
 		if (this.#timer !== undefined && this.#milliseconds === milliseconds) {
--- a/src/concurrency/operations.ts
+++ b/src/concurrency/operations.ts
@@ -54,7 +54,7 @@
 	return result.value;
 }
 
-/** The result of a wait with a timeout: whichever came first. */
+/** The result of a wait with a timeout: a value, the end of the channel or the timeout, whichever came first. */
 export type Selected<Value>
 	= | {type: 'value'; value: Value}
 		| {type: 'closed'}
