--- a/src/wire/connection.ts
+++ b/src/wire/connection.ts
@@ -8,7 +8,7 @@
 const maximumQueuedBatches = 32;
 /**
  * Without this bound, a peer that stops reading makes the send buffer grow without limit. Streams are bounded
- * by credit, so only a peer that reads nothing at all reaches it; closing its connection frees the memory and
+ * by credit, so only a peer that reads nothing at all reaches this bound. Closing its connection frees the memory and
  * fails its requests with a verdict.
  */
 const maximumUnsentBytes = 64 * 1024 * 1024;
@@ -96,7 +96,7 @@
 		this.#isBusy = isBusy;
 	}
 
-	/** Returns whether a heartbeat is due, and counts it as sent; `connections` is the process's number of connections. Closes a silent connection. */
+	/** Closes the connection if the peer is silent. Returns whether a heartbeat is due, and counts that heartbeat as sent; `connections` is the process's number of connections. */
 	takeHeartbeat(connections: number): boolean {
 		const now = performance.now();
 		this.#checkSilence();
@@ -135,7 +135,7 @@
 		this.#unsent.push(frame);
 	}
 
-	/** Destroys the connection immediately; the peer sees it break. */
+	/** Hands the queued messages to the socket and destroys it without waiting; the peer sees an interrupted connection. */
 	close(reason: string): void {
 		if (this.#socket.destroyed) {
 			return;
--- a/src/wire/frames.ts
+++ b/src/wire/frames.ts
@@ -97,8 +97,8 @@
 }
 
 /**
- * Exempts load messages from schema validation: nine of ten messages between gateways are load, and their receiver
- * validates each row itself. Validating the rows twice costs a small instance among many processor time that its callers need.
+ * Exempts load messages from schema validation: nine of ten messages between gateways are of type `load`, and their receiver
+ * validates each row itself. Validating the rows twice would take processor time that a small instance among many needs for requests.
  */
 function isLoad(value: unknown): value is MessageOf<'load'> {
 	const {type, rows} = (value ?? {}) as Partial<MessageOf<'load'>>;
--- a/src/wire/messages.ts
+++ b/src/wire/messages.ts
@@ -31,7 +31,9 @@
 	promptTokens: z.number().nonnegative(),
 	fingerprint: text,
 	prefix: text,
+	/** How often the request has been preempted; 0 if absent. */
 	preemptions: z.number().int().nonnegative().optional(),
+	/** False at a side that is asked in addition to another one and preempts only at the last possible time. */
 	asksFirst: z.boolean().optional(),
 });
 
@@ -90,7 +92,10 @@
 const fail = z.object({
 	type: z.literal('fail'), stream, request, kind: z.enum(Object.values(FailureKind)), verdict: z.enum(Object.values(Verdict)), message: text, retryAfterMilliseconds: milliseconds.optional(),
 });
-/** Side to entry: the side's state for placement; sent on change, rate-limited. */
+/**
+ * Side to entry: the side's state for placement; sent on change, rate-limited. `firm` and `waiting` have one number for each tier,
+ * highest first: slots whose requests a new one of that tier could not preempt, and queued requests.
+ */
 const state = z.object({
 	type: z.literal('state'), phase: z.enum(['serving', 'leaving', 'down']), slots: z.number(), running: z.number(), firm: z.array(z.number()).optional(), waiting: z.array(z.number()), tokenMilliseconds: milliseconds,
 });
@@ -130,7 +135,7 @@
 const routing = z.object({type: z.literal('routing'), table: routingTableSchema});
 /** Gateway to gateway: endpoints that were registered or removed. */
 const endpoints = z.object({type: z.literal('endpoints'), changes: z.array(endpointChangeSchema)});
-/** Gateway to gateway: the sender's placements and the requests that ended, in order. */
+/** Gateway to gateway: the sender's placements and its requests that ended, in order. */
 const load = z.object({type: z.literal('load'), rows: z.array(z.custom<readonly unknown[]>(row => Array.isArray(row), 'not a row'))});
 
 /** Gateway to gateway: the cached prompt parts that an endpoint reports, as alternating ids and token counts. */
