--- a/src/telemetry/journal/decision-journal.ts
+++ b/src/telemetry/journal/decision-journal.ts
@@ -58,7 +58,7 @@
 		this.#now = now;
 	}
 
-	/** Number of decisions held. */
+	/** Number of decisions in the journal. */
 	get size(): number {
 		return this.#ring.length;
 	}
--- a/src/telemetry/journal/operator-protocol.ts
+++ b/src/telemetry/journal/operator-protocol.ts
@@ -18,7 +18,7 @@
 	zone: z.string(),
 	phase: z.enum(['starting', 'serving', 'leaving', 'down']),
 	catalogueOffset: z.number(),
-	/** Requests in progress at an entry; running ones at a side. */
+	/** Requests in progress at an entry; requests that the endpoint is running at a side. */
 	running: z.number(),
 	/** Queued requests by tier, highest tier first. */
 	waiting: z.array(z.number()),
--- a/src/telemetry/journal/operator-routes.ts
+++ b/src/telemetry/journal/operator-routes.ts
@@ -8,7 +8,7 @@
 	readonly instance: string;
 	readonly role: 'entry' | 'side';
 	readonly journal: DecisionJournal;
-	/** Omitted by a process that keeps no quarantine. */
+	/** Absent in a process that has no quarantine; it then lists no fingerprints and releases none. */
 	readonly quarantine?: {
 		list(): QuarantineAnswer['quarantined'];
 		/** Resolves once the release has been published to all instances; resolves to false if the fingerprint is not quarantined. */
--- a/src/telemetry/line-sink.ts
+++ b/src/telemetry/line-sink.ts
@@ -3,7 +3,7 @@
 
 /** Lines are batched for this time and then written in one system call. */
 const batchMilliseconds = 50;
-/** Bounds the memory for lines that a slow reader has not taken; further lines are dropped. Holds some seconds of a busy process's lines. */
+/** Bounds the memory for lines that a slow reader has not read yet; further lines are dropped. It suffices for the lines of some seconds of a busy process. */
 const maximumQueuedBytes = 1024 * 1024;
 
 /**
--- a/src/telemetry/redaction.ts
+++ b/src/telemetry/redaction.ts
@@ -22,17 +22,18 @@
 ]);
 const bearerPattern = /\bbearer\s+[^\s"',;]+/giv;
 const replacement = '[redacted]';
+/** Characters that may stand between the letters of a field's name. */
+const separators = String.raw`[\-_]*`;
+const names = [...secretFields].map(name => [...name].join(separators)).join('|');
 /**
  * Matches lines that may need redaction: those in which such a field holds a string, a list or an object. Most lines don't match and
  * are serialized only once. Numbers don't match, since counts with the same field names occur in the log lines of every request.
  */
-const separators = String.raw`[\-_]*`;
-const names = [...secretFields].map(name => [...name].join(separators)).join('|');
 const candidatePattern = new RegExp(String.raw`"${separators}(?:${names})${separators}":["\[\{]|bearer\s`, 'iv');
 
 /**
  * Serializes a value as JSON without keys and prompts. If a part logs a whole request, or an error that quotes
- * one, the content of one workspace's request would otherwise be in a log that operators of another one read.
+ * one, the content of that request would otherwise be in a log that operators of another workspace read.
  * Redaction is done here because every log line passes through this function.
  */
 export function redactedJson(value: unknown): string {
