--- a/src/bin/cassiaflow-entry.ts
+++ b/src/bin/cassiaflow-entry.ts
@@ -82,7 +82,7 @@
 	log.info(isDrained ? 'Stopped with nothing in progress.' : 'Stopped with requests in progress after the drain timeout.');
 }
 
-/** Random numbers from 0 to 1 for ties between equal candidates. They need not be secret, but two instances must draw different ones. */
+/** Returns a random number in [0, 1), by which ties between equal candidates are broken. It need not be secret, but must differ between instances. */
 function randomUniform(): number {
 	return randomBytes(4).readUInt32BE() / 0x1_00_00_00_00;
 }
--- a/src/bin/cassiaflow-side.ts
+++ b/src/bin/cassiaflow-side.ts
@@ -117,7 +117,7 @@
 	});
 }
 
-/** Creates the client of the endpoint. Services have no health check: a refused connection shows that one is down, and that the request was not run. */
+/** Creates the client of the endpoint. Services have no health check: a refused connection shows that the service is down and that the request was not run. */
 function createBackend({endpointKind, endpointUrl}: SideSettings): Backend {
 	switch (endpointKind) {
 		case 'engine': {
--- a/src/bin/early-hangup.ts
+++ b/src/bin/early-hangup.ts
@@ -1,7 +1,7 @@
 /**
  * Imported before all other modules by programs that reload on SIGHUP. Without a listener the signal terminates
- * the process, so that a SIGHUP during loading, before the program installs its own listener, would end it. This
- * listener does nothing, since the settings have not been read yet at that time.
+ * the process, also while its modules are loading and the program has not yet installed its own listener. This
+ * listener does nothing, because the settings are read later anyway.
  */
 import process from 'node:process';
 
--- a/src/bin/gateway-process.ts
+++ b/src/bin/gateway-process.ts
@@ -28,7 +28,7 @@
 /** After the store is restored from a backup, all instances announce themselves again, at random times within this period. */
 const announceSpreadMilliseconds = 2000;
 const pruneMilliseconds = 10_000;
-/** Share of the memory for buffered request bodies; the rest is for the program, responses and connections. */
+/** The share of `memoryMegabytes` for buffered request bodies; the rest is for the program, responses and connections. */
 const bodyMemoryShare = 0.2;
 /** A graceful shutdown ends this long before the platform would kill the process. */
 const stopMarginMilliseconds = 600;
@@ -81,7 +81,7 @@
 				peers.broadcastPromptCache(list);
 			},
 		});
-		/** Filled in after the peers are opened; a peer that connects before counts as nothing read yet. */
+		/** Set after the peers are opened. Until then this instance tells connecting peers that it has not read the endpoints. */
 		const followers: {feeds?: FeedFollowers} = {};
 		const peers = await openPeers(settings, {incarnation, routingState, dispatcher, promptCacheReader, logger, feeds: () => followers.feeds});
 		const eraCounter = metrics.counter('gateway_store_eras_total', 'How often a feed was read again because the store was restored from a backup.', ['feed']);
@@ -153,7 +153,7 @@
 		this.#parts.dispatcher.retries.setAllowance(allowanceOf(settings));
 	}
 
-	/** Shuts down gracefully; resolves to true if nothing was cut off by the deadline. */
+	/** Shuts down gracefully; resolves to true if all requests ended, and the attempt to retract the announcement too, before the deadline. */
 	async drain(): Promise<boolean> {
 		const {gateway, store, settings, log} = this.#parts;
 		this.#announcementAbort.abort();
--- a/src/bin/settings/command-line.ts
+++ b/src/bin/settings/command-line.ts
@@ -6,8 +6,8 @@
 } from './definition.js';
 
 type Settings = Readonly<Record<string, Setting>>;
-/** A definition without `check`, whose type depends on one program's values. */
-type Flags = Omit<SettingsDefinition<Settings>, 'check'>;
+/** A program's settings without `check`, whose type depends on the values of that program. */
+type CheckFreeDefinition = Omit<SettingsDefinition<Settings>, 'check'>;
 type Environment = Readonly<Record<string, string | undefined>>;
 
 /** The result of reading a command line: run the program, print a text, or report a usage error. */
@@ -31,9 +31,9 @@
 	}
 
 	const checked = values as SettingsOf<All>;
-	const all = problems.length > 0 ? problems : definition.check?.(checked) ?? [];
-	if (all.length > 0) {
-		throw SettingsError.create(definition.program, all);
+	const allProblems = problems.length > 0 ? problems : definition.check?.(checked) ?? [];
+	if (allProblems.length > 0) {
+		throw SettingsError.create(definition.program, allProblems);
 	}
 
 	return checked;
@@ -66,7 +66,7 @@
 	return z.object({version: z.string()}).parse(JSON.parse(text)).version;
 }
 
-function readFlags(definition: Flags, commandLine: readonly string[]): {flags: Readonly<Record<string, string | undefined>>; problems: SettingsProblem[]} {
+function readFlags(definition: CheckFreeDefinition, commandLine: readonly string[]): {flags: Readonly<Record<string, string | undefined>>; problems: SettingsProblem[]} {
 	const parsed = createParser(definition).parseSync([...commandLine]);
 	const flags: Record<string, string | undefined> = {};
 	const problems: SettingsProblem[] = [];
@@ -89,7 +89,7 @@
 	return {flags, problems};
 }
 
-function createParser(definition: Flags): Argv {
+function createParser(definition: CheckFreeDefinition): Argv {
 	const parser = yargs([])
 		.scriptName(definition.program)
 		.usage(`$0 [flags]\n\n${definition.summary}`)
--- a/src/bin/settings/run-program.ts
+++ b/src/bin/settings/run-program.ts
@@ -8,7 +8,7 @@
 
 /**
  * Runs a program with the settings of the process's command line and environment, and sets the exit code. `main`
- * resolves after a requested shutdown; an error that it throws is reported on standard error.
+ * resolves after a requested shutdown; an error that `main` throws is reported on standard error.
  */
 export async function runProgram<All extends Readonly<Record<string, Setting>>>(definition: SettingsDefinition<All>, main: (values: SettingsOf<All>) => Promise<void>): Promise<void> {
 	const commandLine = await readCommandLine(definition, process.argv.slice(2), process.env);
