--- a/src/operator/catalogue-commands.ts
+++ b/src/operator/catalogue-commands.ts
@@ -188,18 +188,19 @@
 
 const statusPollMilliseconds = 200;
 
+/** Polls the instances until all of them have applied the record at `offset`, or the timeout has passed; adds their number to the result. */
 async function waitUntilInForce(context: OperatorContext, offset: number, published: CommandResult, timeoutMilliseconds: number): Promise<CommandResult> {
 	const deadline = performance.now() + timeoutMilliseconds;
 	const urls = await findInstances(context.instances, context.members);
 	for (;;) {
 		const responses = await queryInstances(urls, {method: 'GET', path: '/status', schema: statusAnswerSchema});
-		const current = receivedValues(responses).filter(status => status.catalogueOffset >= offset).length;
-		const isEverywhere = current === urls.length;
+		const currentInstances = receivedValues(responses).filter(status => status.catalogueOffset >= offset).length;
+		const isEverywhere = currentInstances === urls.length;
 		if (isEverywhere || performance.now() >= deadline) {
 			return {
 				exit: isEverywhere ? OperatorExit.ok : OperatorExit.unknown,
-				value: {...published.value as Record<string, unknown>, inForce: current, instances: urls.length},
-				text: [published.text, `In force at ${current} of ${urls.length} instances.`, ...describeUnresponsive(responses)].join('\n'),
+				value: {...published.value as Record<string, unknown>, inForce: currentInstances, instances: urls.length},
+				text: [published.text, `In force at ${currentInstances} of ${urls.length} instances.`, ...describeUnresponsive(responses)].join('\n'),
 			};
 		}
 
--- a/src/operator/catalogue-file.ts
+++ b/src/operator/catalogue-file.ts
@@ -28,7 +28,7 @@
 		return {type: 'wrong', problems: parsed.error.issues.flatMap(issue => problemsOf(issue).map(({path, message}) => problemAt(file, locate, path, message)))};
 	}
 
-	const problems = duplicates(parsed.data).map(({path, message}) => problemAt(file, locate, path, message));
+	const problems = findDuplicates(parsed.data).map(({path, message}) => problemAt(file, locate, path, message));
 	return problems.length > 0 ? {type: 'wrong', problems} : {type: 'parsed', content: parsed.data, locate};
 }
 
@@ -52,9 +52,10 @@
 	return `${problem.file}:${problem.line}: ${problem.field === '' ? '' : `${problem.field}: `}${problem.message}`;
 }
 
-type Finding = {readonly path: FieldPath; readonly message: string};
+/** A problem before its line in the file is known. */
+type UnlocatedProblem = {readonly path: FieldPath; readonly message: string};
 
-function problemsOf(issue: z.core.$ZodIssue): readonly Finding[] {
+function problemsOf(issue: z.core.$ZodIssue): readonly UnlocatedProblem[] {
 	const path = issue.path as Array<string | number>;
 	if (issue.code === 'unrecognized_keys') {
 		return issue.keys.map(key => ({path: [...path, key], message: 'unknown field'}));
@@ -63,7 +64,7 @@
 	return [{path, message: issue.message}];
 }
 
-function duplicates(content: CatalogueFile): readonly Finding[] {
+function findDuplicates(content: CatalogueFile): readonly UnlocatedProblem[] {
 	const seen = new Set<string>();
 	const occurrences = [
 		...content.entries.map((entry, index) => ({key: entryKey(entry), path: ['entries', index, 'name']})),
--- a/src/operator/fleet-commands.ts
+++ b/src/operator/fleet-commands.ts
@@ -59,19 +59,20 @@
 		const [response] = await queryInstances([url], {method: 'POST', path: '/quarantine', body, schema: quarantineAnswerSchema});
 		if (response?.type === 'answered') {
 			const {instance} = response.value;
-			return {exit: OperatorExit.ok, value: {released: fingerprint, by: context.author, at: instance}, text: `Released ${fingerprint} at ${instance}; it is propagated from there.`};
+			return {exit: OperatorExit.ok, value: {released: fingerprint, by: context.author, at: instance}, text: `Released ${fingerprint} at ${instance}, which propagates it to all others.`};
 		}
 
 		silent.push(...describeUnresponsive([response!]));
 	}
 
-	return {exit: OperatorExit.notFound, value: {silent}, text: ['No instance released it.', ...silent].join('\n')};
+	return {exit: OperatorExit.notFound, value: {silent}, text: ['No instance released the fingerprint.', ...silent].join('\n')};
 }
 
 async function queryFleet<Value>(context: OperatorContext, request: InstanceRequest<Value>): Promise<ReadonlyArray<InstanceResponse<Value>>> {
 	return queryInstances(await findInstances(context.instances, context.members), request);
 }
 
+/** Creates a command's result, with a line for each instance that did not respond; the command failed if none responded. */
 function finish(responses: ReadonlyArray<InstanceResponse<unknown>>, value: unknown, text: string): CommandResult {
 	const exit = receivedValues(responses).length === 0 ? OperatorExit.unreachable : OperatorExit.ok;
 	const notes = responses.length === 0 ? ['No instance is known: give --members-url or --instance.'] : describeUnresponsive(responses);
--- a/src/operator/log-files.ts
+++ b/src/operator/log-files.ts
@@ -3,6 +3,7 @@
 import {SettingsError} from '../bin/settings/definition.js';
 import {type CommandResult, formatTable, OperatorExit} from './result.js';
 
+/** A log line about the request. */
 type Line = {readonly time: string; readonly instance: string; readonly msg: string; readonly fields: Readonly<Record<string, unknown>>};
 
 /** Fields that occur in each log line and are not specific to a decision. */
--- a/src/operator/publish.ts
+++ b/src/operator/publish.ts
@@ -46,6 +46,7 @@
 
 /** The outcome of a publication. */
 export type Publication
+	/** The record was read back; `verdict` is its result in the fold. */
 	= | {readonly type: 'decided'; readonly offset: number; readonly verdict: RecordVerdict}
 	/** The log did not store it. */
 		| {readonly type: 'refused'; readonly reason: string}
@@ -94,7 +95,7 @@
 	});
 }
 
-/** Finds the first record with this id, which decides the outcome; the log may have stored the change twice. */
+/** Finds the first record with this id. The log may have stored the change twice; the verdict of the first record counts. */
 function findChange(stream: FoldedStream, id: string): Publication | undefined {
 	const record = stream.records.find(candidate => {
 		const parsed = changeSchema.safeParse(candidate.value);
