--- a/src/bin/cassiaflow-entry.ts
+++ b/src/bin/cassiaflow-entry.ts
@@ -33,7 +33,7 @@
 	});
 	await using quarantine = QuarantineLedger.create({log: HttpLogClient.create(platform(settings.logUrl)), onLog});
 	await using claims = ClaimManager.create({log: HttpLogClient.create(platform(settings.logUrl)), instance});
-	const metrics = Metrics.create({role: 'entry', ofProcess: true});
+	const metrics = Metrics.create({role: 'entry', includesProcessMetrics: true});
 	const journal = DecisionJournal.create();
 	await using entry = await Entry.create({
 		telemetry: EntryTelemetry.create(metrics, journal),
@@ -78,11 +78,11 @@
 	});
 	log.info('Listening.', {address: entry.address, internalAddress: entry.internalAddress, adminPort: admin.port});
 	log.info('Stopping.', {signal: await stopSignal()});
-	const whole = await withinMilliseconds(entry.drain(settings.noticeMilliseconds), settings.stopMilliseconds);
-	log.info(whole ? 'Stopped with nothing in progress.' : 'Stopped with requests in progress, after the time allowed.');
+	const isDrained = await withinMilliseconds(entry.drain(settings.noticeMilliseconds), settings.stopMilliseconds);
+	log.info(isDrained ? 'Stopped with nothing in progress.' : 'Stopped with requests in progress after the drain timeout.');
 }
 
-/** Spreads choices between equals; needs no secrecy, only that two instances differ. */
+/** Returns a random number in [0, 1), by which ties between equal candidates are broken. It need not be secret, but must differ between instances. */
 function randomUniform(): number {
 	return randomBytes(4).readUInt32BE() / 0x1_00_00_00_00;
 }
--- a/src/bin/early-hangup.ts
+++ b/src/bin/early-hangup.ts
@@ -1,7 +1,7 @@
 /**
- * Imported before everything else by programs that reload at SIGHUP. Failure: the signal comes while the
- * program still loads, before it listens for it. Symptom: the process ends, which is what the signal does
- * to whoever ignores it. Nothing has to be done then: the settings have not been read yet.
+ * Imported before all other modules by programs that reload on SIGHUP. Without a listener the signal terminates
+ * the process, also while its modules are loading and the program has not yet installed its own listener. This
+ * listener does nothing, because the settings are read later anyway.
  */
 import process from 'node:process';
 
